--- a/crates/agatesill/src/commands/config.rs
+++ b/crates/agatesill/src/commands/config.rs
@@ -244,7 +244,7 @@
         for (field, value) in fields(profile) {
             table.add_row([field, value]);
         }
-        let users: Vec<&str> = config.doc.users_of(name).into_iter().collect();
+        let users: Vec<&str> = config.doc.services_using(name).into_iter().collect();
         table.add_row(["used by".to_owned(), users.join(", ")]);
         table.add_row(["configuration version".to_owned(), config.version.to_string()]);
         table
@@ -297,7 +297,7 @@
             }
             ProfileClass::Batch => ("batch", "-".to_owned()),
         };
-        let users: Vec<&str> = doc.users_of(name).into_iter().collect();
+        let users: Vec<&str> = doc.services_using(name).into_iter().collect();
         table.add_row([
             name.clone(),
             class.to_owned(),
--- a/crates/agatesill_bench/src/requests/baseline.rs
+++ b/crates/agatesill_bench/src/requests/baseline.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use agatesill_policy::prelude::*;
-use agatesill_policy::request::shares::{Member, Slots, Table, member_hash};
+use agatesill_policy::request::shares::{Member, OwnershipTable, UpstreamSlots, member_hash};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -93,8 +93,9 @@
             .collect();
         members.sort_by_key(|member| member.hash);
         let own = members.iter().position(|member| member.hash == self.own).unwrap_or(0);
-        let slots = |target: &Target| Slots { upstream: target.id, zone: "", slots: target.slots };
-        let table = Table::new(&members, self.targets.iter().map(slots));
+        let slots =
+            |target: &Target| UpstreamSlots { upstream: target.id, zone: "", slots: target.slots };
+        let table = OwnershipTable::new(&members, self.targets.iter().map(slots));
         let shares: Vec<u32> =
             self.targets.iter().map(|target| table.share(own, slots(target))).collect();
         for (target, share) in self.targets.iter_mut().zip(shares) {
--- a/crates/agatesill_bench/src/requests/engine.rs
+++ b/crates/agatesill_bench/src/requests/engine.rs
@@ -483,7 +483,7 @@
             let state = &mut self.daemons[daemon];
             state.heard_us[other] = u64::MAX;
             match &mut state.decider {
-                Decider::Product(policy) => policy.peer_gone(now_us, &name),
+                Decider::Product(policy) => policy.peer_terminated(now_us, &name),
                 Decider::Other(baseline) => baseline.peer_gone(&name),
             }
         }
@@ -517,7 +517,9 @@
         let heard_us = state.heard_us[from];
         state.heard_us[from] = if heard_us == u64::MAX { now_us } else { heard_us.max(now_us) };
         match &mut state.decider {
-            Decider::Product(policy) => policy.peer_view(now_us, &name, state.late_us, loads),
+            Decider::Product(policy) => {
+                policy.update_peer_loads(now_us, &name, state.late_us, loads)
+            }
             Decider::Other(baseline) => baseline.peer_view(&name, loads),
         }
     }
--- a/crates/agatesill_coord/src/config/change.rs
+++ b/crates/agatesill_coord/src/config/change.rs
@@ -171,7 +171,7 @@
 ) -> Result<(), Error> {
     let services: Vec<String> = current
         .doc
-        .users_of(profile)
+        .services_using(profile)
         .into_iter()
         .filter(|service| match change.services.get(*service) {
             Some(Some(moved)) => moved.profile == profile,
--- a/crates/agatesill_policy/src/profile.rs
+++ b/crates/agatesill_policy/src/profile.rs
@@ -169,7 +169,7 @@
     }
 
     /// Names of the services that use `profile`.
-    pub fn users_of(&self, profile: &str) -> BTreeSet<&str> {
+    pub fn services_using(&self, profile: &str) -> BTreeSet<&str> {
         self.services
             .iter()
             .filter(|(_, service)| service.profile == profile)
--- a/crates/agatesill_policy/src/request/policy.rs
+++ b/crates/agatesill_policy/src/request/policy.rs
@@ -102,7 +102,7 @@
     }
 
     /// Names the other daemons before the same pool. Each counts as alive, and keeps its slots,
-    /// until [`RequestPolicy::peer_gone`] says otherwise.
+    /// until [`RequestPolicy::peer_terminated`] says otherwise.
     pub fn set_members(&mut self, _now_us: u64, members: &[String]) {
         self.peers.set_names(members, &mut self.pool);
         self.share_out();
@@ -130,7 +130,7 @@
 
     /// Takes in another daemon's requests in flight, as they were `age_us` ago. Upstreams that
     /// are not named have none. A daemon that was gone is back and has its slots again.
-    pub fn peer_view(
+    pub fn update_peer_loads(
         &mut self,
         _now_us: u64,
         instance: &str,
@@ -143,7 +143,7 @@
     }
 
     /// Another daemon has died or stopped; its slots fall to the others.
-    pub fn peer_gone(&mut self, _now_us: u64, instance: &str) {
+    pub fn peer_terminated(&mut self, _now_us: u64, instance: &str) {
         self.peers.gone(instance, &mut self.pool);
         self.share_out();
     }
--- a/crates/agatesill_policy/src/request/pool.rs
+++ b/crates/agatesill_policy/src/request/pool.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::health::{Cause, Health, most_out};
-use super::shares::{Member, Slots, Table};
+use super::shares::{Member, OwnershipTable, UpstreamSlots};
 use super::{UpstreamId, UpstreamSpec};
 
 /// Draws until two upstreams are found that may receive the request now.
@@ -47,8 +47,8 @@
 }
 
 impl Upstream {
-    fn slots(&self) -> Slots<'_> {
-        Slots { upstream: self.spec.id, zone: &self.spec.zone, slots: self.spec.slots }
+    fn slots(&self) -> UpstreamSlots<'_> {
+        UpstreamSlots { upstream: self.spec.id, zone: &self.spec.zone, slots: self.spec.slots }
     }
 
     fn has_room(&self) -> bool {
@@ -135,7 +135,7 @@
     pub fn set_members(&mut self, members: &[Member], own: usize) {
         let shares: Vec<u32> = {
             let listed = self.upstreams.iter().filter(|upstream| upstream.listed);
-            let table = Table::new(members, listed.map(Upstream::slots));
+            let table = OwnershipTable::new(members, listed.map(Upstream::slots));
             self.upstreams.iter().map(|upstream| table.share(own, upstream.slots())).collect()
         };
         for (upstream, share) in self.upstreams.iter_mut().zip(shares) {
--- a/crates/agatesill_policy/src/request/shares.rs
+++ b/crates/agatesill_policy/src/request/shares.rs
@@ -45,7 +45,7 @@
 
 /// An upstream as the table sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Slots<'a> {
+pub struct UpstreamSlots<'a> {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Its availability zone.
@@ -61,7 +61,7 @@
 
 /// What every daemon is entitled to.
 #[derive(Debug)]
-pub struct Table<'a> {
+pub struct OwnershipTable<'a> {
     members: &'a [Member],
     zones: BTreeMap<&'a str, Zone>,
     deficits: Vec<f64>,
@@ -75,10 +75,10 @@
     kept: f64,
 }
 
-impl<'a> Table<'a> {
+impl<'a> OwnershipTable<'a> {
     /// Computes the table for these daemons, in the same order in all of them, and upstreams. A
     /// zone without a name is nobody's own.
-    pub fn new(members: &'a [Member], upstreams: impl Iterator<Item = Slots<'a>>) -> Self {
+    pub fn new(members: &'a [Member], upstreams: impl Iterator<Item = UpstreamSlots<'a>>) -> Self {
         let mut zones: BTreeMap<&str, Zone> = BTreeMap::new();
         let mut total = 0.0;
         for upstream in upstreams {
@@ -103,7 +103,7 @@
     }
 
     /// How many slots of the upstream belong to the live member at `index`.
-    pub fn share(&self, index: usize, at: Slots<'_>) -> u32 {
+    pub fn share(&self, index: usize, at: UpstreamSlots<'_>) -> u32 {
         let dead = (0..self.members.len()).filter(|one| !self.members[*one].live);
         let inherited: u32 = dead
             .map(|dead| {
@@ -115,7 +115,7 @@
         self.dealt(index, at) + inherited
     }
 
-    fn dealt(&self, index: usize, at: Slots<'_>) -> u32 {
+    fn dealt(&self, index: usize, at: UpstreamSlots<'_>) -> u32 {
         let whole = |one: f64| (one + ROUNDING).floor();
         let fraction = |one: usize| {
             let entitled = self.entitled(one, at);
@@ -134,7 +134,7 @@
             .max_by_key(|one| xxh3_64_with_seed(&self.members[*one].hash.to_le_bytes(), seed))
     }
 
-    fn entitled(&self, index: usize, at: Slots<'_>) -> f64 {
+    fn entitled(&self, index: usize, at: UpstreamSlots<'_>) -> f64 {
         let slots = f64::from(at.slots);
         let even = slots / self.members.len() as f64;
         let zone = self.zones.get(at.zone).copied().unwrap_or_default();
--- a/crates/agatesill_policy/tests/request_policy.rs
+++ b/crates/agatesill_policy/tests/request_policy.rs
@@ -166,8 +166,10 @@
             }
             Step::Leaving { upstream } => policy.upstream_leaving(now_us, *upstream),
             Step::Relist => policy.set_upstreams(now_us, &specs(5)),
-            Step::PeerGone => policy.peer_gone(now_us, "entry-1"),
-            Step::PeerBack { load } => policy.peer_view(now_us, "entry-1", 0, &[(0, *load)]),
+            Step::PeerGone => policy.peer_terminated(now_us, "entry-1"),
+            Step::PeerBack { load } => {
+                policy.update_peer_loads(now_us, "entry-1", 0, &[(0, *load)])
+            }
         }
         seen.extend(actions.iter().map(|action| format!("{action:?}")));
         books.take(&policy, &mut actions);
--- a/crates/agatesill_policy/tests/request_shares.rs
+++ b/crates/agatesill_policy/tests/request_shares.rs
@@ -1,6 +1,6 @@
 //! Ownership of slots: differential against plain sums, and daemons that disagree about the dead.
 
-use agatesill_policy::request::shares::{Member, Slots, Table, member_hash};
+use agatesill_policy::request::shares::{Member, OwnershipTable, UpstreamSlots, member_hash};
 use proptest::prelude::*;
 
 fn members(count: usize, zones: usize, dead: &[bool]) -> Vec<Member> {
@@ -19,8 +19,8 @@
     (0..count).map(|id| (id, format!("zone-{}", id as usize % zones), slots)).collect()
 }
 
-fn slots((upstream, zone, slots): &(u32, String, u32)) -> Slots<'_> {
-    Slots { upstream: *upstream, zone, slots: *slots }
+fn slots((upstream, zone, slots): &(u32, String, u32)) -> UpstreamSlots<'_> {
+    UpstreamSlots { upstream: *upstream, zone, slots: *slots }
 }
 
 proptest! {
@@ -36,7 +36,7 @@
         dead.truncate(daemons - 1);
         let members = members(daemons, zones, &dead);
         let upstreams = upstreams(count, each, zones);
-        let table = Table::new(&members, upstreams.iter().map(slots));
+        let table = OwnershipTable::new(&members, upstreams.iter().map(slots));
         for upstream in &upstreams {
             let live = (0..members.len()).filter(|index| members[*index].live);
             let sum: u32 = live.map(|index| table.share(index, slots(upstream))).sum();
@@ -63,7 +63,7 @@
                     other.live |= !known;
                 }
                 prop_assert!(seen[index].hash == member.hash);
-                let table = Table::new(&seen, upstreams.iter().map(slots));
+                let table = OwnershipTable::new(&seen, upstreams.iter().map(slots));
                 sum += table.share(index, slots(upstream));
             }
             prop_assert!(sum <= 8, "{} at {}", sum, upstream.0);
@@ -76,7 +76,7 @@
     for (daemons, zones) in [(6, 3), (8, 4), (7, 3)] {
         let members = members(daemons, zones, &[]);
         let upstreams = upstreams(50, 8, zones);
-        let table = Table::new(&members, upstreams.iter().map(slots));
+        let table = OwnershipTable::new(&members, upstreams.iter().map(slots));
         for (index, member) in members.iter().enumerate() {
             let own = |upstream: &&(u32, String, u32)| upstream.1 == member.zone;
             let share = |upstream: &(u32, String, u32)| table.share(index, slots(upstream));
--- a/crates/agatesilld/src/decide/state.rs
+++ b/crates/agatesilld/src/decide/state.rs
@@ -116,12 +116,12 @@
             DecideEvent::Config(config) => self.configure(&config),
             DecideEvent::PeerLoads { instance, loads } => {
                 for pool in &mut self.pools {
-                    pool.policy.peer_view(now_us, &instance, 0, &loads);
+                    pool.policy.update_peer_loads(now_us, &instance, 0, &loads);
                 }
             }
             DecideEvent::PeerGone(instance) => {
                 for pool in &mut self.pools {
-                    pool.policy.peer_gone(now_us, &instance);
+                    pool.policy.peer_terminated(now_us, &instance);
                 }
             }
             DecideEvent::Leaving { upstream, is_first_hand } => {
