--- a/crates/agatesill_policy/src/lib.rs
+++ b/crates/agatesill_policy/src/lib.rs
@@ -1,15 +1,15 @@
-//! Decisions of the scheduler, free of any network, clock or thread.
+//! Scheduling and admission policies, independent of network, clock and threads.
 //!
-//! Every module takes the current time as an argument (microseconds on the caller's own monotonic
-//! clock) and returns actions for its caller to carry out, so the same code runs in the daemon and
-//! under the virtual clock of the bench.
+//! Every module takes the current time as an argument (microseconds on the caller's monotonic
+//! clock) and returns actions for the caller to perform. The same code thus runs in the daemon and
+//! under the virtual clock of the benchmarks.
 
 pub mod batch;
 pub mod fleet;
 pub mod profile;
 pub mod request;
 
-/// The types that most users of this crate need.
+/// Commonly used types of this crate.
 pub mod prelude {
     pub use crate::batch::{
         Attempt, AttemptOutcome, BatchConfig, BatchPolicy, Cell, CellDelta, CellEffect,
@@ -24,7 +24,7 @@
     };
 }
 
-/// Derives the set that every plain value type of the workspace carries.
+/// Declares a plain data type with the derives that all such types of the workspace share.
 #[macro_export]
 macro_rules! value_type {
     ($(#[$meta:meta])* $vis:vis struct $name:ident { $($body:tt)* }) => {
--- a/crates/agatesill_policy/src/profile.rs
+++ b/crates/agatesill_policy/src/profile.rs
@@ -1,4 +1,4 @@
-//! Profiles, services and teams: what operators promise and who picks which promise.
+//! Configuration of profiles, services and teams: latency objectives and their assignment.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,13 +6,13 @@
 
 use crate::value_type;
 
-/// The longest answer time that a profile may promise.
+/// Maximum response time, in milliseconds, that a profile may promise.
 pub const MAX_ANSWER_MS: u32 = 600_000;
 
 value_type! {
-    /// Which kind of work a profile describes.
+    /// Kind of work that a profile applies to.
     pub enum ProfileClass {
-        /// Requests that a caller waits for.
+        /// Requests whose callers wait for the response.
         LatencyCritical,
         /// Tasks that run to completion on a worker.
         Batch,
@@ -20,24 +20,24 @@
 }
 
 value_type! {
-    /// A named promise. Zero or absent limits mean the documented default.
+    /// Named service objectives and limits. A zero or absent limit has its documented default.
     #[serde(deny_unknown_fields)]
     pub struct Profile {
-        /// Whether the profile covers requests or batch tasks.
+        /// Whether the profile applies to requests or to batch tasks.
         pub class: ProfileClass,
-        /// Promised 99th percentile of the answer time; only for latency-critical profiles.
+        /// Promised 99th percentile of the response time; used by latency-critical profiles only.
         #[serde(default)]
         pub answer_ms: u32,
-        /// Priority from 0 (first to be refused) to 9 (last to be refused).
+        /// Priority from 0 (refused first) to 9 (refused last).
         #[serde(default = "default_priority")]
         pub priority: u8,
-        /// How many requests may wait in one daemon; 0 means derived from the slots.
+        /// Maximum requests queued in one daemon; 0 derives it from the slots.
         #[serde(default)]
         pub queue_requests: u32,
-        /// How many times one task of this profile may be evicted in an hour.
+        /// Maximum evictions of one task of this profile per hour.
         #[serde(default = "default_evictions")]
         pub evictions_per_hour: u32,
-        /// Share of a worker's processor time that a throttled task keeps, in percent.
+        /// Share of a worker's CPU time that a throttled task keeps, in percent.
         #[serde(default = "default_throttle")]
         pub throttle_percent: u32,
     }
@@ -56,44 +56,44 @@
 }
 
 value_type! {
-    /// A service and the profile it picked.
+    /// A service and its profile.
     #[serde(deny_unknown_fields)]
     pub struct Service {
-        /// Name of the profile that the service was sold.
+        /// Name of the profile that applies to the service.
         pub profile: String,
-        /// Pool of upstreams that answers the service's requests.
+        /// Pool of upstreams that serves the requests of the service.
         pub pool: String,
-        /// Methods and paths that must run at most once, as `METHOD /path-prefix`.
+        /// Requests that must run at most once, each as `METHOD /path-prefix`.
         #[serde(default)]
         pub non_repeatable: Vec<String>,
     }
 }
 
 value_type! {
-    /// An availability zone that takes no new work. What runs there ends by itself.
+    /// An availability zone that accepts no new work. Running work continues until it ends.
     #[derive(Default)]
     #[serde(deny_unknown_fields)]
     pub struct Evacuation {
-        /// Why, for whoever asks.
+        /// Reason, for display to operators.
         #[serde(default)]
         pub reason: String,
     }
 }
 
 value_type! {
-    /// A team and its share of the batch floor.
+    /// A team and its share of the batch worker pool.
     #[serde(deny_unknown_fields)]
     pub struct Team {
-        /// Relative weight when teams compete.
+        /// Relative weight in the division of capacity between teams.
         pub weight: u32,
-        /// Upper bound on processors in use at once, in thousandths; 0 means none.
+        /// Maximum CPU in use at once, in thousandths of a core; 0 means unlimited.
         #[serde(default)]
         pub quota_cpu_milli: u64,
     }
 }
 
 value_type! {
-    /// The whole configuration that operators change, one document with one version.
+    /// The complete configuration that operators change: one document with one version.
     #[derive(Default)]
     #[serde(deny_unknown_fields)]
     pub struct ConfigDoc {
@@ -106,45 +106,45 @@
         /// Teams by name.
         #[serde(default)]
         pub teams: BTreeMap<String, Team>,
-        /// Availability zones whose workers take no new work, by name.
+        /// Availability zones whose workers accept no new work, by name.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         pub evacuations: BTreeMap<String, Evacuation>,
     }
 }
 
-/// Why a configuration document is not acceptable.
+/// Error that makes a configuration document invalid.
 #[derive(Debug, Snafu, PartialEq)]
 pub enum ConfigError {
-    /// A value lies outside its range.
+    /// A value is outside its allowed range.
     #[snafu(display("{key}: {value} is outside {range}"))]
     Range {
-        /// Path of the key within the document.
+        /// Path of the key in the document.
         key: String,
-        /// The value found.
+        /// Value in the document.
         value: String,
-        /// The allowed range.
+        /// Allowed range.
         range: String,
     },
     /// A service names a profile that does not exist.
     #[snafu(display("services.{service}.profile: no profile named {profile}"))]
     NoProfile {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The missing profile.
+        /// Name of the missing profile.
         profile: String,
     },
-    /// A profile cannot be retired while services use it.
+    /// A profile is still in use by services and cannot be removed.
     #[snafu(display("profile {profile} is used by {}", services.join(", ")))]
     InUse {
-        /// The profile.
+        /// Name of the profile.
         profile: String,
-        /// The services that use it.
+        /// Names of the services that use the profile.
         services: Vec<String>,
     },
 }
 
 impl ConfigDoc {
-    /// Checks ranges and references; the first problem found is returned.
+    /// Checks ranges and references; returns the first error found.
     pub fn validate(&self) -> Result<(), ConfigError> {
         for (name, profile) in &self.profiles {
             validate_profile(name, profile)?;
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// Names of the services that use `profile`.
+    /// Returns the names of the services that use `profile`.
     pub fn services_using(&self, profile: &str) -> BTreeSet<&str> {
         self.services
             .iter()
--- a/crates/agatesill_policy/src/request/limit.rs
+++ b/crates/agatesill_policy/src/request/limit.rs
@@ -1,48 +1,52 @@
-//! Fewer requests in flight while contention at the upstreams breaks the promise.
+//! Adaptive limit on the requests in flight while contention breaks the latency objective.
 //!
-//! Load pattern: batch work beside the upstreams makes every slot slower the more of them are
-//! busy, so that the declared slots promise more than the floor holds. Without a limit the daemon
-//! keeps all slots busy and every answer is late.
+//! Batch work colocated with the upstreams slows every slot, the more so the more slots are busy.
+//! The declared slots then exceed the actual capacity of the machines. Without a limit the daemon
+//! keeps all slots busy and every response is late.
 //!
-//! The limit falls only where both signs show: the window's tail is beyond the promise, and its
-//! median is well above the usual one. A few long requests raise the tail but not the median, and
-//! a service that is simply slower than it was sold does not get faster by cutting.
+//! The limit decreases only if both conditions hold in a window: the tail latency exceeds the
+//! objective, and the median is well above its baseline. A few long requests raise the tail but
+//! not the median. A service that is always slower than its objective gains nothing from a limit.
 
 use super::histogram::Histogram;
 
-/// Length of a window: some hundred answers at the brief's rates, and four to a second, so that
-/// a limit is halved in about 2 s.
+/// Length of a window. It holds a few hundred responses at the target request rates. At four
+/// windows per second, the limit is halved in about 2 s.
 const WINDOW_US: u64 = 250_000;
 
-/// Answers below which a window says nothing: a 95th percentile needs at least two beyond it.
-const MIN_SAMPLES: u32 = 40;
+/// Minimum responses in a window; shorter windows are extended. A 95th percentile needs at least
+/// two responses beyond it.
+const MIN_WINDOW_SAMPLES: u32 = 40;
 
-/// Median over the usual median from which contention is assumed. The median of 40 lognormal
-/// answers (sigma 0.8) is beyond 1.6 times the true one in about 1 window of 5,000.
-const CONTENDED_RATIO: f64 = 1.6;
+/// Ratio of the window's median to the baseline median above which contention is assumed. The
+/// median of 40 lognormal durations (sigma 0.8) exceeds 1.6 times the true median in about 1 window
+/// of 5,000.
+const CONTENTION_RATIO: f64 = 1.6;
 
-/// Ratio below which the limit grows again; the gap to the other is the hysteresis.
-const RELAXED_RATIO: f64 = 1.3;
+/// Ratio below which the limit increases again. The gap to [`CONTENTION_RATIO`] is the hysteresis.
+const RECOVERY_RATIO: f64 = 1.3;
 
-/// Contended windows in a row before a cut.
-const WINDOWS_BEFORE_CUT: u8 = 2;
+/// Consecutive contended windows before the limit decreases.
+const CONTENDED_WINDOWS_BEFORE_DECREASE: u8 = 2;
 
-/// Factor of one cut and step of one growth.
-const CUT: f64 = 0.9;
-const GROWTH: f64 = 0.05;
+/// Factor of one decrease of the limit.
+const DECREASE_FACTOR: f64 = 0.9;
 
-/// Least share of the slots that stays in use. Batch work is throttled within seconds; until then
-/// half of the slots at their usual speed serve more than all of them at half of it.
-const LEAST: f64 = 0.5;
+/// Step of one increase of the limit.
+const INCREASE_STEP: f64 = 0.05;
 
-/// The share of the daemon's slots that may be in use.
+/// Minimum share of the slots that stays usable. Batch work is throttled within seconds; until
+/// then, half of the slots at normal speed serve more requests than all of them at half speed.
+const MIN_SHARE: f64 = 0.5;
+
+/// Additive-increase, multiplicative-decrease limit on the share of the daemon's slots in use.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     share: f64,
     window: Histogram,
     window_ends_us: u64,
-    usual_median_us: f64,
-    contended: u8,
+    baseline_median_us: f64,
+    contended_windows: u8,
 }
 
 impl Default for ConcurrencyLimit {
@@ -51,8 +55,8 @@
             share: 1.0,
             window: Histogram::default(),
             window_ends_us: 0,
-            usual_median_us: 0.0,
-            contended: 0,
+            baseline_median_us: 0.0,
+            contended_windows: 0,
         }
     }
 }
@@ -63,7 +67,7 @@
         self.share
     }
 
-    /// Takes in the duration of one answered exchange.
+    /// Records the duration of one answered exchange.
     pub fn record(&mut self, now_us: u64, took_us: u64, promise_us: u64) {
         if now_us >= self.window_ends_us {
             self.close_window(promise_us);
@@ -73,25 +77,26 @@
     }
 
     fn close_window(&mut self, promise_us: u64) {
-        if self.window.samples() < MIN_SAMPLES {
+        if self.window.samples() < MIN_WINDOW_SAMPLES {
             return;
         }
         let median_us = self.window.quantile_us(0.5) as f64;
         let late = self.window.quantile_us(0.95) > promise_us;
         self.window.clear();
-        if self.usual_median_us == 0.0 {
-            self.usual_median_us = median_us;
+        if self.baseline_median_us == 0.0 {
+            self.baseline_median_us = median_us;
         }
-        let ratio = median_us / self.usual_median_us;
-        self.contended = if late && ratio > CONTENDED_RATIO { self.contended + 1 } else { 0 };
-        if self.contended >= WINDOWS_BEFORE_CUT {
-            self.share = (self.share * CUT).max(LEAST);
-            self.contended = 0;
-        } else if ratio < RELAXED_RATIO {
-            self.share = (self.share + GROWTH).min(1.0);
+        let ratio = median_us / self.baseline_median_us;
+        self.contended_windows =
+            if late && ratio > CONTENTION_RATIO { self.contended_windows + 1 } else { 0 };
+        if self.contended_windows >= CONTENDED_WINDOWS_BEFORE_DECREASE {
+            self.share = (self.share * DECREASE_FACTOR).max(MIN_SHARE);
+            self.contended_windows = 0;
+        } else if ratio < RECOVERY_RATIO {
+            self.share = (self.share + INCREASE_STEP).min(1.0);
         }
-        // The usual median follows a faster floor at once and a slower one over minutes.
-        let pace = if ratio < 1.0 { 0.1 } else { 0.002 };
-        self.usual_median_us += (median_us - self.usual_median_us) * pace;
+        // The baseline follows a faster median quickly and a slower one over minutes.
+        let weight = if ratio < 1.0 { 0.1 } else { 0.002 };
+        self.baseline_median_us += (median_us - self.baseline_median_us) * weight;
     }
 }
--- a/crates/agatesill_policy/src/request/mod.rs
+++ b/crates/agatesill_policy/src/request/mod.rs
@@ -1,18 +1,18 @@
-//! Requests: whom to serve, who waits, who is refused and where each goes.
+//! Admission control, queueing and routing of latency-critical requests.
 //!
 //! [`RequestPolicy`] is one daemon's view of one pool of upstreams, shared by all services of that
-//! pool. It never blocks: events go in with the current time, [`Action`]s come out.
+//! pool. It never blocks: it receives events with the current time and returns [`Action`]s.
 //!
-//! - [`peers`]: the other daemons and what they reported.
-//! - [`shares`]: which slots of which upstream are this daemon's.
-//! - [`pool`]: the choice among upstreams that have room.
-//! - [`health`]: slow or failing upstreams leave the choice and come back slowly.
-//! - [`admission`] and [`fair`]: how many may wait, who is next and who is refused.
-//! - [`limit`]: fewer requests in flight while contention breaks the promise.
-//! - [`retry`]: which failures are tried again, and how often.
+//! - [`peers`]: the other daemons and their reported load.
+//! - [`shares`]: the upstream slots that each daemon owns.
+//! - [`pool`]: load balancing over the upstreams with free capacity.
+//! - [`health`]: ejection of slow or failing upstreams, and their gradual return.
+//! - [`admission`] and [`fair_queue`]: queue length, service order and refusals.
+//! - [`limit`]: fewer requests in flight while contention breaks the latency objective.
+//! - [`retry`]: retryable outcomes and the retry budget.
 
 pub mod admission;
-pub mod fair;
+pub mod fair_queue;
 pub mod health;
 pub mod histogram;
 pub mod limit;
@@ -26,154 +26,154 @@
 
 use crate::value_type;
 
-/// What holds for a service that nothing was set for.
+/// Limits of a service without settings of its own.
 pub const DEFAULT_LIMITS: ServiceLimits =
     ServiceLimits { promise_us: 1_000_000, priority: 5, queue_requests: 0 };
 
-/// Identifies an upstream within a pool.
+/// Identifier of an upstream, unique within its pool.
 pub type UpstreamId = u32;
 
-/// Identifies a request inside one daemon, from arrival to outcome.
+/// Identifier of a request, unique within one daemon from arrival to outcome.
 pub type Ticket = u64;
 
-/// Position of a service among those of the pool, as given to [`RequestPolicy::set_service`].
+/// Index of a service within its pool, as passed to [`RequestPolicy::set_service`].
 pub type ServiceIndex = u32;
 
 value_type! {
-    /// What a service was sold, as far as requests go.
+    /// Limits from the profile of a service that apply to its requests.
     #[derive(Copy)]
     pub struct ServiceLimits {
-        /// Promised 99th percentile of the answer time.
+        /// Latency objective: the promised 99th percentile of the response time.
         pub promise_us: u64,
-        /// From 0 (first to be refused) to 9 (last to be refused).
+        /// Priority from 0 (refused first) to 9 (refused last).
         pub priority: u8,
-        /// Requests that may wait in one daemon; 0 means derived from the measured drain rate.
+        /// Maximum requests queued in one daemon; 0 derives it from the measured drain rate.
         pub queue_requests: u32,
     }
 }
 
 value_type! {
-    /// What the settings or the platform's list say of one upstream.
+    /// Description of one upstream, from the settings or the platform's list.
     pub struct UpstreamSpec {
-        /// Identity, stable over address changes.
+        /// Identifier, stable across address changes.
         pub id: UpstreamId,
-        /// Requests that it runs at once.
+        /// Requests that the upstream runs concurrently.
         pub slots: u32,
-        /// Availability zone.
+        /// Availability zone of the upstream.
         pub zone: String,
     }
 }
 
-/// What the policy needs to know of an arriving request.
+/// Attributes of an arriving request that the policy uses.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Identifies the request inside this daemon.
+    /// Identifier within this daemon.
     pub ticket: Ticket,
-    /// Its service.
+    /// Service that the request is for.
     pub service: ServiceIndex,
     /// Hash of the caller's identity.
     pub caller: u64,
-    /// Hash of the key that the request is about.
+    /// Hash of the key that the request refers to.
     pub key: u64,
-    /// Latest useful answer time on the daemon's clock, in microseconds.
+    /// Time after which a response is useless, on the daemon's clock, in microseconds.
     pub deadline_us: u64,
-    /// Whether it may be sent again after a failure.
+    /// Whether the request may be sent again after it may have run.
     pub repeatable: bool,
 }
 
 value_type! {
-    /// Why a request is refused without having run.
+    /// Reason for refusing a request that has not run.
     pub enum Refusal {
         /// The queue is full.
         QueueFull,
-        /// It cannot finish before its deadline.
+        /// The request cannot finish before its deadline.
         TooLate,
-        /// No upstream may receive work.
+        /// No upstream accepts requests.
         NoUpstream,
     }
 }
 
 value_type! {
-    /// Why an upstream was chosen.
+    /// Reason for choosing an upstream.
     pub enum Choice {
-        /// Least loaded of the daemon's own free slots.
+        /// A free slot that this daemon owns, by the load-balancing choice.
         OwnSlot,
-        /// A slot that another daemon owns and leaves idle.
+        /// An idle slot that another daemon owns.
         Borrowed,
-        /// A trial request to an upstream that was out.
+        /// A probe to an ejected upstream.
         Probe,
     }
 }
 
-/// What the decision was made on, for the log line.
+/// Inputs of a routing decision, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// Why the upstream was chosen.
+    /// Reason for the choice.
     pub choice: Choice,
-    /// 1 for the first attempt.
+    /// Attempt number, 1 for the first attempt.
     pub attempt: u8,
-    /// This daemon's requests at the upstream, this one included.
+    /// This daemon's requests at the upstream, including this one.
     pub in_flight: u32,
-    /// What this daemon may have there at once.
+    /// Slots of the upstream that this daemon owns.
     pub share: u32,
-    /// What the other daemons reported there.
+    /// The other daemons' requests at the upstream, as last reported.
     pub peer_in_flight: u32,
-    /// Upstreams that had room.
+    /// Upstreams with a free slot of this daemon.
     pub candidates: u32,
-    /// Upstreams that are out because of failures or slowness.
+    /// Upstreams ejected for failures or slowness.
     pub ejected: u32,
-    /// Requests waiting in this daemon.
+    /// Requests queued in this daemon.
     pub waiting: u32,
-    /// How long the request waited.
+    /// Time that the request spent queued.
     pub waited_us: u64,
 }
 
-/// What the caller of the policy has to do next.
+/// Action for the caller of the policy to carry out.
 ///
-/// Each ticket gets any number of `Send`, and then either ends by an outcome that is final or gets
-/// exactly one `Refuse` or `GiveUp`.
+/// Each ticket gets any number of `Send`. It then ends with a final outcome, or with exactly one
+/// `Refuse` or `GiveUp`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to this upstream; a second one for the same ticket is a retry.
+    /// Send the request to the upstream; a further `Send` for the same ticket is a retry.
     Send {
-        /// The request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// Where it goes.
+        /// Upstream that receives the request.
         upstream: UpstreamId,
-        /// What the decision was made on.
+        /// Inputs of the decision.
         decision: Decision,
     },
-    /// Refuse the request; no byte of it has left.
+    /// Refuse the request; no byte of it was sent.
     Refuse {
-        /// The request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// The reason.
+        /// Reason of the refusal.
         refusal: Refusal,
-        /// When the caller may come back.
+        /// Delay after which the caller may retry.
         retry_after_ms: u32,
     },
-    /// Answer with the failure of the last attempt: no retry is left.
+    /// Respond with the failure of the attempts; the request is not retried.
     GiveUp {
-        /// The request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// How the last attempt ended.
+        /// `Broken` if any attempt was, otherwise the outcome of the last attempt.
         outcome: Outcome,
-        /// When the caller may come back.
+        /// Delay after which the caller may retry.
         retry_after_ms: u32,
     },
 }
 
-/// How an exchange with an upstream ended.
+/// Result of an exchange with an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer arrived.
+    /// A complete response arrived.
     Answered,
-    /// The upstream refused and says that it did not run the request.
+    /// The upstream refused the request and states that it did not run it.
     Refused,
-    /// The exchange failed before a byte of the request left.
+    /// The exchange failed before a byte of the request was sent.
     NotSent,
-    /// The exchange failed after a byte may have left.
+    /// The exchange failed after a byte of the request may have been sent.
     Broken,
-    /// The caller went away or the deadline passed.
+    /// The caller disconnected or the deadline passed.
     Abandoned,
 }
--- a/crates/agatesill_policy/src/request/policy.rs
+++ b/crates/agatesill_policy/src/request/policy.rs
@@ -1,4 +1,4 @@
-//! [`RequestPolicy`]: the events of one daemon before one pool, and the actions that follow.
+//! [`RequestPolicy`]: handles the events of one daemon for one pool and emits actions.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,27 +6,29 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::admission::{Durations, expected_wait_us, expires_us, queue_limit};
-use super::fair::{FairQueue, Waiting, eviction_margin};
+use super::fair_queue::{FairQueue, Waiting, eviction_margin};
 use super::limit::ConcurrencyLimit;
 use super::peers::Peers;
 use super::pool::Pool;
-use super::retry::{MAX_ATTEMPTS, RetryBudget, permits};
+use super::retry::{MAX_ATTEMPTS, RetryBudget, is_retryable};
 use super::{
     Action, Choice, DEFAULT_LIMITS, Decision, Outcome, Refusal, RequestHead, ServiceIndex,
     ServiceLimits, Ticket, UpstreamId, UpstreamSpec,
 };
 
-/// Pause between two looks at the queue while something waits.
-const LOOK_US: u64 = 5_000;
+/// Interval between two dispatches of the queue while requests wait.
+const QUEUE_POLL_INTERVAL_US: u64 = 5_000;
 
-/// Answers before an upstream can be called slow: a 95th percentile with ten answers beyond it.
-const SLOW_MIN_SAMPLES: u32 = 200;
+/// Samples of the pool needed to classify a request as slow: the 95th percentile then has ten
+/// samples beyond it.
+const MIN_SLOW_SAMPLES: u32 = 200;
 
-/// Weight of the newest request in the share of refused ones: about the last 64.
-const REFUSED_WEIGHT: f64 = 1.0 / 64.0;
+/// Weight of the newest request in the share of refused requests, which thus covers about the last
+/// 64 requests.
+const REFUSED_SHARE_WEIGHT: f64 = 1.0 / 64.0;
 
-/// How much longer a refused caller is asked to stay away when all are refused.
-const STAY_AWAY: f64 = 8.0;
+/// Relative increase of Retry-After while all requests are refused.
+const MAX_RETRY_AFTER_INCREASE: f64 = 8.0;
 
 #[derive(Debug)]
 struct Service {
@@ -58,78 +60,79 @@
     Sent(Exchange),
 }
 
-/// Admission and routing for one pool in one daemon.
+/// Admission control and routing for one pool in one daemon.
 #[derive(Debug)]
 pub struct RequestPolicy {
     pool: Pool,
     services: Vec<Service>,
     peers: Peers,
     queue: FairQueue,
-    places: HashMap<Ticket, Place>,
-    ageing: VecDeque<(u64, Ticket, u64)>,
+    tickets: HashMap<Ticket, Place>,
+    slow_checks: VecDeque<(u64, Ticket, u64)>,
     durations: Durations,
     limit: ConcurrencyLimit,
     refused_share: f64,
     expired: Vec<u32>,
     next_expiry_us: u64,
-    looked_us: u64,
+    last_dispatch_us: u64,
     rng: Pcg64Mcg,
 }
 
 impl RequestPolicy {
-    /// Creates a policy for the daemon `instance` in `zone`; `seed` fixes its random choices.
+    /// Creates a policy for the daemon `instance` in `zone`; `seed` makes its random choices
+    /// reproducible.
     pub fn new(seed: u64, instance: &str, zone: &str) -> Self {
         Self {
             pool: Pool::new(zone),
             services: Vec::new(),
             peers: Peers::new(instance, zone),
             queue: FairQueue::default(),
-            places: HashMap::new(),
-            ageing: VecDeque::new(),
+            tickets: HashMap::new(),
+            slow_checks: VecDeque::new(),
             durations: Durations::default(),
             limit: ConcurrencyLimit::default(),
             refused_share: 0.0,
             expired: Vec::new(),
             next_expiry_us: u64::MAX,
-            looked_us: 0,
+            last_dispatch_us: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// Sets what the service at `index` was sold; unknown services get [`DEFAULT_LIMITS`].
+    /// Sets the limits of the service at `index`; other services have [`DEFAULT_LIMITS`].
     pub fn set_service(&mut self, index: ServiceIndex, limits: ServiceLimits) {
         self.service(index).limits = limits;
     }
 
-    /// Names the other daemons before the same pool. Each counts as alive, and keeps its slots,
-    /// until [`RequestPolicy::peer_terminated`] says otherwise.
+    /// Sets the other daemons that serve the same pool. Each counts as live and keeps its slots
+    /// until [`RequestPolicy::peer_terminated`] is called for it.
     pub fn set_members(&mut self, _now_us: u64, members: &[String]) {
-        self.peers.set_names(members, &mut self.pool);
-        self.share_out();
+        self.peers.set_peer_names(members, &mut self.pool);
+        self.update_shares();
     }
 
-    /// Says in which availability zone another daemon is. While that of any is unknown, zones play
-    /// no part in the ownership of slots.
+    /// Sets the availability zone of another daemon. While the zone of any daemon is unknown, the
+    /// ownership of slots ignores zones.
     pub fn set_member_zone(&mut self, _now_us: u64, instance: &str, zone: &str) {
         if self.peers.set_zone(instance, zone) {
-            self.share_out();
+            self.update_shares();
         }
     }
 
-    /// Replaces the set of upstreams; those that are gone receive nothing new, and one that was
-    /// leaving and is listed again may receive work again.
+    /// Replaces the set of upstreams. Removed upstreams receive no new requests. An upstream that
+    /// was leaving and is listed again may receive requests again.
     pub fn set_upstreams(&mut self, _now_us: u64, specs: &[UpstreamSpec]) {
-        self.pool.set_upstreams(specs, self.peers.members(), self.peers.own());
+        self.pool.set_upstreams(specs, self.peers.members(), self.peers.own_position());
     }
 
-    /// Marks an upstream as leaving at the first sign of it: a closed connection, a refusal, a
-    /// peer's word or the platform's list. It receives nothing new until it is listed again.
+    /// Marks an upstream as leaving, at the first indication: a closed connection, a refusal, a
+    /// peer's report or the platform's list. It receives no new requests until it is listed again.
     pub fn upstream_leaving(&mut self, _now_us: u64, upstream: UpstreamId) {
         self.pool.set_leaving(upstream);
     }
 
-    /// Takes in another daemon's requests in flight, as they were `age_us` ago. Upstreams that
-    /// are not named have none. A daemon that was gone is back and has its slots again.
+    /// Records another daemon's requests in flight, as of `age_us` ago. Upstreams that are not in
+    /// `loads` have none. A daemon that had terminated counts as live and owns its slots again.
     pub fn update_peer_loads(
         &mut self,
         _now_us: u64,
@@ -138,40 +141,40 @@
         loads: &[(UpstreamId, u32)],
     ) {
         if self.peers.heard(instance, loads, &mut self.pool) {
-            self.share_out();
+            self.update_shares();
         }
     }
 
-    /// Another daemon has died or stopped; its slots fall to the others.
+    /// Records that another daemon crashed or stopped; its slots pass to the live daemons.
     pub fn peer_terminated(&mut self, _now_us: u64, instance: &str) {
-        self.peers.gone(instance, &mut self.pool);
-        self.share_out();
+        self.peers.terminated(instance, &mut self.pool);
+        self.update_shares();
     }
 
-    /// This daemon's own requests in flight, by upstream.
+    /// This daemon's requests in flight, by upstream.
     pub fn local_load(&self) -> impl Iterator<Item = (UpstreamId, u32)> + '_ {
         self.pool.iter().map(|upstream| (upstream.spec.id, upstream.in_flight))
     }
 
-    /// This daemon's own slots, by upstream.
+    /// Slots that this daemon owns, by upstream.
     pub fn local_share(&self) -> impl Iterator<Item = (UpstreamId, u32)> + '_ {
         self.pool.iter().map(|upstream| (upstream.spec.id, upstream.share))
     }
 
-    /// Requests waiting in this daemon.
+    /// Number of requests queued in this daemon.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// When [`RequestPolicy::tick`] has to run again, if nothing else happens before.
+    /// Time at which [`RequestPolicy::tick`] must run unless another event occurs earlier.
     pub fn next_wake_us(&self) -> Option<u64> {
-        let ageing_us = self.ageing.front().map(|(due_us, _, _)| *due_us);
-        let queue_us =
-            (!self.queue.is_empty()).then(|| self.next_expiry_us.min(self.looked_us + LOOK_US));
-        ageing_us.into_iter().chain(queue_us).min()
+        let slow_check_us = self.slow_checks.front().map(|(due_us, _, _)| *due_us);
+        let queue_us = (!self.queue.is_empty())
+            .then(|| self.next_expiry_us.min(self.last_dispatch_us + QUEUE_POLL_INTERVAL_US));
+        slow_check_us.into_iter().chain(queue_us).min()
     }
 
-    /// Takes a request in: sends, queues or refuses it.
+    /// Handles an arriving request: sends, queues or refuses it.
     pub fn arrive(&mut self, now_us: u64, head: RequestHead, out: &mut Vec<Action>) {
         let service = head.service;
         let limits = self.service(service).limits;
@@ -196,10 +199,10 @@
             tag,
         };
         if self.queue.is_empty()
-            && let Some((at, choice)) = self.choose(now_us, &waiting)
+            && let Some((position, choice)) = self.choose(now_us, &waiting)
         {
             self.queue.charge(&waiting.head, limits.priority);
-            return self.send(now_us, at, choice, waiting, out);
+            return self.send(now_us, position, choice, waiting, out);
         }
         self.enqueue(now_us, waiting, limits, out);
     }
@@ -218,10 +221,10 @@
         if now_us + wait_us + median_us > waiting.head.deadline_us {
             return self.refuse(service, ticket, Refusal::TooLate, out);
         }
-        let most = queue_limit(&self.service(service).durations, &limits, slots);
-        if self.queue.len() >= most {
-            let last_tag = self.queue.last_tag().unwrap_or(0);
-            if last_tag <= waiting.tag + eviction_margin(limits.priority) {
+        let max_queued = queue_limit(&self.service(service).durations, &limits, slots);
+        if self.queue.len() >= max_queued {
+            let highest_tag = self.queue.highest_tag().unwrap_or(0);
+            if highest_tag <= waiting.tag + eviction_margin(limits.priority) {
                 return self.refuse(service, ticket, Refusal::QueueFull, out);
             }
             let services = &self.services;
@@ -231,23 +234,23 @@
             }
         }
         self.queue.charge(&waiting.head, limits.priority);
-        self.put(waiting);
+        self.push_waiting(waiting);
     }
 
-    fn put(&mut self, waiting: Waiting) {
+    fn push_waiting(&mut self, waiting: Waiting) {
         let ticket = waiting.head.ticket;
         self.next_expiry_us = self.next_expiry_us.min(waiting.expires_us);
         let place = self.queue.push(waiting);
-        self.places.insert(ticket, Place::Waiting(place));
+        self.tickets.insert(ticket, Place::Waiting(place));
     }
 
-    /// Records the end of an exchange, or that the caller of a waiting request went away, and
-    /// serves whoever waits. After a failure the ticket gets another `Send` or a `GiveUp`.
+    /// Records the end of an exchange, or the disconnection of the caller of a queued request, and
+    /// dispatches the queue. After a failure the ticket gets another `Send` or a `GiveUp`.
     pub fn finish(&mut self, now_us: u64, ticket: Ticket, outcome: Outcome, out: &mut Vec<Action>) {
-        match self.places.remove(&ticket) {
+        match self.tickets.remove(&ticket) {
             None => return,
             Some(Place::Waiting(place)) => {
-                self.queue.take(place);
+                self.queue.remove(place);
             }
             Some(Place::Sent(exchange)) => self.end_exchange(now_us, exchange, outcome, out),
         }
@@ -262,9 +265,9 @@
         out: &mut Vec<Action>,
     ) {
         let took_us = now_us.saturating_sub(exchange.sent_us);
-        if let Some(at) = self.pool.at(exchange.upstream) {
-            self.pool.leave(at);
-            self.learn(now_us, at, &exchange, outcome, took_us);
+        if let Some(position) = self.pool.position(exchange.upstream) {
+            self.pool.request_finished(position);
+            self.record_exchange(now_us, position, &exchange, outcome, took_us);
         }
         match outcome {
             Outcome::Answered => self.service(exchange.head.service).budget.deposit(),
@@ -275,10 +278,10 @@
         }
     }
 
-    fn learn(
+    fn record_exchange(
         &mut self,
         now_us: u64,
-        at: usize,
+        position: usize,
         exchange: &Exchange,
         outcome: Outcome,
         took_us: u64,
@@ -286,17 +289,17 @@
         match outcome {
             Outcome::Abandoned => return,
             Outcome::Refused | Outcome::NotSent | Outcome::Broken => {
-                return self.pool.ended(at, now_us, true);
+                return self.pool.ended(position, now_us, true);
             }
-            Outcome::Answered => self.pool.ended(at, now_us, false),
+            Outcome::Answered => self.pool.ended(position, now_us, false),
         }
-        let judged = self.durations.measured(SLOW_MIN_SAMPLES);
-        let probe = self.pool.get(at).health.is_out();
+        let can_classify = self.durations.has_samples(MIN_SLOW_SAMPLES);
+        let probe = self.pool.get(position).health.is_ejected();
         if !exchange.counted_slow {
-            let slow = judged && took_us > self.durations.p95_us();
-            self.pool.timed(at, now_us, slow);
+            let slow = can_classify && took_us > self.durations.p95_us();
+            self.pool.record_timing(position, now_us, slow);
         }
-        self.pool.record_latency(at, took_us);
+        self.pool.record_latency(position, took_us);
         if !probe {
             self.durations.record(took_us);
             let service = self.service(exchange.head.service);
@@ -308,46 +311,48 @@
 
     fn retry(&mut self, now_us: u64, exchange: Exchange, outcome: Outcome, out: &mut Vec<Action>) {
         let Exchange { head, arrived_us, upstream, attempts, worst, .. } = exchange;
-        let worst = worst_of(worst, outcome);
+        let worst = more_severe(worst, outcome);
         let usable = self.pool.usable() > 0;
         let service = self.service(head.service);
         let median_us = service.durations.median_us(service.limits.promise_us);
-        let wanted = permits(outcome, head.repeatable)
+        let can_retry = is_retryable(outcome, head.repeatable)
             && attempts < MAX_ATTEMPTS
             && usable
             && now_us + median_us <= head.deadline_us;
-        if !wanted || !service.budget.withdraw() {
+        if !can_retry || !service.budget.withdraw() {
             return self.give_up(head.service, head.ticket, worst, out);
         }
         let expires_us = expires_us(&service.durations, &service.limits, now_us, head.deadline_us);
         let avoid = Some(upstream);
-        // Tag 0 puts it before all others: its wait is behind it and its budget is paid.
+        // Tag 0 puts the retry at the head of the queue: the request has already waited, and the
+        // retry budget has paid for the attempt.
         let waiting =
             Waiting { head, arrived_us, expires_us, attempts, avoid, worst: Some(worst), tag: 0 };
-        self.put(waiting);
+        self.push_waiting(waiting);
     }
 
-    /// Lets time pass: refuses what has become too late and sends what may go.
+    /// Refuses expired requests and dispatches the queue.
     pub fn tick(&mut self, now_us: u64, out: &mut Vec<Action>) {
         self.dispatch(now_us, out);
     }
 
     fn dispatch(&mut self, now_us: u64, out: &mut Vec<Action>) {
-        self.age(now_us);
+        self.mark_overdue_slow(now_us);
         if self.queue.is_empty() {
             return;
         }
-        self.looked_us = now_us;
+        self.last_dispatch_us = now_us;
         self.expire(now_us, out);
         while let Some(waiting) = self.queue.peek() {
             let (repeatable, attempts, avoid) =
                 (waiting.head.repeatable, waiting.attempts, waiting.avoid);
-            let Some((at, choice)) = self.choose_for(now_us, repeatable, attempts, avoid) else {
+            let Some((position, choice)) = self.choose_for(now_us, repeatable, attempts, avoid)
+            else {
                 break;
             };
             let Some(waiting) = self.queue.pop() else { break };
-            self.queue.begin(waiting.tag);
-            self.send(now_us, at, choice, waiting, out);
+            self.queue.advance_virtual_time(waiting.tag);
+            self.send(now_us, position, choice, waiting, out);
         }
     }
 
@@ -364,29 +369,32 @@
     ) -> Option<(usize, Choice)> {
         if repeatable
             && attempts == 0
-            && let Some(at) = self.pool.probe(now_us)
+            && let Some(position) = self.pool.probe(now_us)
         {
-            return Some((at, Choice::Probe));
+            return Some((position, Choice::Probe));
         }
         if self.pool.in_flight() >= self.serving_slots() {
             return None;
         }
-        let own = self.pool.pick(now_us, &mut self.rng, avoid).map(|at| (at, Choice::OwnSlot));
-        own.or_else(|| self.pool.borrow(&mut self.rng).map(|at| (at, Choice::Borrowed)))
+        let own = self
+            .pool
+            .pick(now_us, &mut self.rng, avoid)
+            .map(|position| (position, Choice::OwnSlot));
+        own.or_else(|| self.pool.borrow(&mut self.rng).map(|position| (position, Choice::Borrowed)))
     }
 
     fn send(
         &mut self,
         now_us: u64,
-        at: usize,
+        position: usize,
         choice: Choice,
         waiting: Waiting,
         out: &mut Vec<Action>,
     ) {
-        let candidates = self.pool.open() as u32;
+        let candidates = self.pool.available() as u32;
         let promise_us = self.service(waiting.head.service).limits.promise_us;
-        self.pool.enter(at, now_us, self.durations.median_us(promise_us) as f64);
-        let upstream = self.pool.get(at);
+        self.pool.request_started(position, now_us, self.durations.median_us(promise_us) as f64);
+        let upstream = self.pool.get(position);
         let decision = Decision {
             choice,
             attempt: waiting.attempts + 1,
@@ -394,7 +402,7 @@
             share: upstream.share,
             peer_in_flight: upstream.peer_in_flight,
             candidates,
-            ejected: self.pool.out() as u32,
+            ejected: self.pool.ejected() as u32,
             waiting: self.queue.len() as u32,
             waited_us: now_us - waiting.arrived_us,
         };
@@ -408,30 +416,30 @@
             worst: waiting.worst,
             counted_slow: false,
         };
-        self.places.insert(ticket, Place::Sent(exchange));
-        if self.durations.measured(SLOW_MIN_SAMPLES) {
-            self.ageing.push_back((now_us + self.durations.p95_us(), ticket, now_us));
+        self.tickets.insert(ticket, Place::Sent(exchange));
+        if self.durations.has_samples(MIN_SLOW_SAMPLES) {
+            self.slow_checks.push_back((now_us + self.durations.p95_us(), ticket, now_us));
         }
-        self.refused_share -= self.refused_share * REFUSED_WEIGHT;
+        self.refused_share -= self.refused_share * REFUSED_SHARE_WEIGHT;
         out.push(Action::Send { ticket, upstream: id, decision });
     }
 
-    /// Counts requests as slow as soon as they have taken longer than the pool's 95th percentile.
+    /// Counts a request as slow as soon as it has taken longer than the pool's 95th percentile.
     ///
-    /// Guards against an upstream that hangs: it never answers, so it would never be found slow.
-    fn age(&mut self, now_us: u64) {
-        while let Some((due_us, ticket, sent_us)) = self.ageing.front().copied() {
+    /// An upstream that hangs never responds, so it would otherwise never be detected as slow.
+    fn mark_overdue_slow(&mut self, now_us: u64) {
+        while let Some((due_us, ticket, sent_us)) = self.slow_checks.front().copied() {
             if due_us > now_us {
                 break;
             }
-            self.ageing.pop_front();
-            let Some(Place::Sent(exchange)) = self.places.get_mut(&ticket) else { continue };
+            self.slow_checks.pop_front();
+            let Some(Place::Sent(exchange)) = self.tickets.get_mut(&ticket) else { continue };
             if exchange.sent_us != sent_us {
                 continue;
             }
             exchange.counted_slow = true;
-            if let Some(at) = self.pool.at(exchange.upstream) {
-                self.pool.timed(at, now_us, true);
+            if let Some(position) = self.pool.position(exchange.upstream) {
+                self.pool.record_timing(position, now_us, true);
             }
         }
     }
@@ -452,20 +460,20 @@
         }
         let refusal = if unusable { Refusal::NoUpstream } else { Refusal::TooLate };
         for place in expired.drain(..) {
-            if let Some(waiting) = self.queue.take(place) {
+            if let Some(waiting) = self.queue.remove(place) {
                 self.end_wait(waiting, refusal, out);
             }
         }
         self.expired = expired;
     }
 
-    /// Ends a wait without another attempt.
+    /// Ends a queued request without another attempt.
     ///
-    /// Guards against a false `not run`: a request that was sent before and waits for a retry
-    /// ends with the failure of its attempts, never as a refusal.
+    /// A request that was sent before and is queued for a retry ends with the failure of its
+    /// attempts. A refusal would report it as not run, although it may have run.
     fn end_wait(&mut self, waiting: Waiting, refusal: Refusal, out: &mut Vec<Action>) {
         let (service, ticket) = (waiting.head.service, waiting.head.ticket);
-        self.places.remove(&ticket);
+        self.tickets.remove(&ticket);
         match waiting.worst {
             Some(outcome) => self.give_up(service, ticket, outcome, out),
             None => self.refuse(service, ticket, refusal, out),
@@ -490,18 +498,19 @@
         refusal: Refusal,
         out: &mut Vec<Action>,
     ) {
-        self.refused_share += (1.0 - self.refused_share) * REFUSED_WEIGHT;
+        self.refused_share += (1.0 - self.refused_share) * REFUSED_SHARE_WEIGHT;
         let retry_after_ms = self.retry_after_ms(service);
         out.push(Action::Refuse { ticket, refusal, retry_after_ms });
     }
 
-    /// The promise, longer the more are refused, and spread so that callers that were refused
-    /// together don't come back together.
+    /// Retry-After: the latency objective, extended with the share of refused requests, with jitter
+    /// so that callers that were refused together don't retry together.
     fn retry_after_ms(&mut self, service: ServiceIndex) -> u32 {
         let promise_us = self.service(service).limits.promise_us as f64;
-        let spread = self.rng.random_range(0.5..1.5);
-        let pause_us = promise_us * (1.0 + self.refused_share * STAY_AWAY) * spread;
-        ((pause_us / 1_000.0) as u32).clamp(10, 10_000)
+        let jitter = self.rng.random_range(0.5..1.5);
+        let retry_after_us =
+            promise_us * (1.0 + self.refused_share * MAX_RETRY_AFTER_INCREASE) * jitter;
+        ((retry_after_us / 1_000.0) as u32).clamp(10, 10_000)
     }
 
     fn serving_slots(&self) -> u32 {
@@ -516,16 +525,18 @@
         &mut self.services[index]
     }
 
-    fn share_out(&mut self) {
-        self.pool.set_members(self.peers.members(), self.peers.own());
+    fn update_shares(&mut self) {
+        self.pool.set_members(self.peers.members(), self.peers.own_position());
     }
 }
 
 fn priority(services: &[Service], service: ServiceIndex) -> u8 {
-    services.get(service as usize).map_or(DEFAULT_LIMITS.priority, |one| one.limits.priority)
+    services
+        .get(service as usize)
+        .map_or(DEFAULT_LIMITS.priority, |service| service.limits.priority)
 }
 
-/// The outcome that says the least about not having run.
-fn worst_of(before: Option<Outcome>, now: Outcome) -> Outcome {
+/// Returns `Broken` if either outcome is: the request may then have run. Otherwise returns `now`.
+fn more_severe(before: Option<Outcome>, now: Outcome) -> Outcome {
     if before == Some(Outcome::Broken) { Outcome::Broken } else { now }
 }
--- a/crates/agatesill_policy/src/request/pool.rs
+++ b/crates/agatesill_policy/src/request/pool.rs
@@ -1,49 +1,51 @@
-//! The upstreams of one pool and the choice among those that have room.
+//! The upstreams of one pool, and load balancing over those with free capacity.
 //!
-//! Load pattern: steady load over upstreams whose load this daemon knows only in part. A choice by
-//! local load alone sends to upstreams that the other daemons have filled; a choice by the
-//! reported loads sends all daemons to the same one. Here a daemon fills only slots that are its
-//! own (see [`super::shares`]), so a choice can't overfill, and among them takes the better of two
-//! drawn at random: by recent latency, reported load and zone. Two draws cost the same at 50 and
-//! at 2,000 upstreams and don't send everything to the one that was fastest last.
+//! A daemon knows the load of an upstream only in part. A choice by local load alone selects
+//! upstreams that the other daemons have filled, and a choice by reported loads sends all daemons
+//! to the same upstream. A daemon therefore uses only the slots that it owns (see
+//! [`super::shares`]), so it cannot overload an upstream. Among the upstreams with a free slot it
+//! uses the power of two random choices, by recent latency, reported load and zone. Two draws cost
+//! the same at 50 and at 2,000 upstreams, and don't send all requests to the upstream that was last
+//! the fastest.
 
 use std::collections::HashMap;
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-use super::health::{Cause, Health, most_out};
+use super::health::{EjectionCause, Health, max_ejected};
 use super::shares::{Member, OwnershipTable, UpstreamSlots};
 use super::{UpstreamId, UpstreamSpec};
 
-/// Draws until two upstreams are found that may receive the request now.
-const DRAWS: usize = 6;
+/// Maximum draws to find two upstreams that may receive the request now.
+const MAX_DRAWS: usize = 6;
 
-/// Weight of the newest answer in an upstream's mean latency: about its last eight requests.
+/// Weight of the newest sample in the mean latency of an upstream, which thus covers about its last
+/// eight requests.
 const LATENCY_WEIGHT: f32 = 0.125;
 
-/// Position in `open` of an upstream that is not in it.
-const NOT_OPEN: u32 = u32::MAX;
+/// Value of `available_index` for an upstream that is not in `available`.
+const NOT_AVAILABLE: u32 = u32::MAX;
 
 /// One upstream as this daemon sees it.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Settings.
+    /// Description from the settings or the platform.
     pub spec: UpstreamSpec,
-    /// Slots that are this daemon's own.
+    /// Slots that this daemon owns.
     pub share: u32,
-    /// This daemon's requests there.
+    /// This daemon's requests in flight at the upstream.
     pub in_flight: u32,
-    /// The other daemons' requests there, as last reported.
+    /// The other daemons' requests in flight at the upstream, as last reported.
     pub peer_in_flight: u32,
-    /// Whether it receives nothing new.
+    /// Whether the upstream is draining and receives no new requests.
     pub leaving: bool,
-    /// Failures and slowness.
+    /// Health, from failures and slowness.
     pub health: Health,
     listed: bool,
     same_zone: bool,
     latency_us: f32,
-    open_at: u32,
+    available_index: u32,
 }
 
 impl Upstream {
@@ -51,12 +53,12 @@
         UpstreamSlots { upstream: self.spec.id, zone: &self.spec.zone, slots: self.spec.slots }
     }
 
-    fn has_room(&self) -> bool {
-        !self.leaving && !self.health.is_out() && self.in_flight < self.share
+    fn has_free_slot(&self) -> bool {
+        !self.leaving && !self.health.is_ejected() && self.in_flight < self.share
     }
 
-    /// Expected latency, higher the fuller the upstream is; lower is better. At equal figures the
-    /// own zone wins.
+    /// Expected latency, which increases with the load of the upstream; lower is better. On a tie,
+    /// an upstream in this daemon's zone is preferred.
     fn cost(&self) -> f32 {
         let load = (self.in_flight + self.peer_in_flight) as f32 / self.spec.slots.max(1) as f32;
         let zone = if self.same_zone { 1.0 } else { 1.05 };
@@ -64,49 +66,54 @@
     }
 }
 
-/// The upstreams, with those that have room at hand.
+/// The upstreams of one pool, with an index of those that have a free slot.
 #[derive(Debug)]
 pub struct Pool {
     upstreams: Vec<Upstream>,
     index: HashMap<UpstreamId, u32>,
-    open: Vec<u32>,
-    out: Vec<u32>,
+    available: Vec<u32>,
+    ejected: Vec<u32>,
     zone: String,
     in_flight: u32,
     share: u32,
     slots: u32,
-    out_share: u32,
+    ejected_share: u32,
     peer_in_flight: u32,
     usable: usize,
 }
 
 impl Pool {
-    /// An empty pool seen from `zone`.
+    /// Creates an empty pool for a daemon in `zone`.
     pub fn new(zone: &str) -> Self {
         Self {
             upstreams: Vec::new(),
             index: HashMap::new(),
-            open: Vec::new(),
-            out: Vec::new(),
+            available: Vec::new(),
+            ejected: Vec::new(),
             zone: zone.to_owned(),
             in_flight: 0,
             share: 0,
             slots: 0,
-            out_share: 0,
+            ejected_share: 0,
             peer_in_flight: 0,
             usable: 0,
         }
     }
 
-    /// Replaces the upstreams; those that are gone stay as leaving until their requests end.
-    pub fn set_upstreams(&mut self, specs: &[UpstreamSpec], members: &[Member], own: usize) {
+    /// Replaces the upstreams. Removed ones stay as leaving until their requests end.
+    pub fn set_upstreams(
+        &mut self,
+        specs: &[UpstreamSpec],
+        members: &[Member],
+        own_position: usize,
+    ) {
         for upstream in &mut self.upstreams {
             upstream.leaving = true;
             upstream.listed = false;
         }
         for spec in specs {
-            if let Some(at) = self.index.get(&spec.id) {
-                let upstream = &mut self.upstreams[*at as usize];
+            if let Some(position) = self.index.get(&spec.id) {
+                let upstream = &mut self.upstreams[*position as usize];
                 upstream.spec = spec.clone();
                 upstream.leaving = false;
                 upstream.listed = true;
@@ -122,47 +129,53 @@
                     health: Health::default(),
                     same_zone: spec.zone == self.zone,
                     latency_us: 0.0,
-                    open_at: NOT_OPEN,
+                    available_index: NOT_AVAILABLE,
                 });
             }
         }
         self.upstreams.retain(|upstream| upstream.listed || upstream.in_flight > 0);
-        self.index = (0u32..).zip(&self.upstreams).map(|(at, one)| (one.spec.id, at)).collect();
-        self.set_members(members, own);
+        self.index = (0u32..)
+            .zip(&self.upstreams)
+            .map(|(position, upstream)| (upstream.spec.id, position))
+            .collect();
+        self.set_members(members, own_position);
     }
 
-    /// Computes the own slots anew; this daemon is the one at `own`.
-    pub fn set_members(&mut self, members: &[Member], own: usize) {
+    /// Recomputes the slots that this daemon owns; `own_position` is its position in `members`.
+    pub fn set_members(&mut self, members: &[Member], own_position: usize) {
         let shares: Vec<u32> = {
             let listed = self.upstreams.iter().filter(|upstream| upstream.listed);
             let table = OwnershipTable::new(members, listed.map(Upstream::slots));
-            self.upstreams.iter().map(|upstream| table.share(own, upstream.slots())).collect()
+            self.upstreams
+                .iter()
+                .map(|upstream| table.share(own_position, upstream.slots()))
+                .collect()
         };
         for (upstream, share) in self.upstreams.iter_mut().zip(shares) {
             upstream.share = share;
         }
-        self.recount();
+        self.rebuild_counts();
     }
 
-    /// Marks an upstream as leaving.
+    /// Marks an upstream as leaving; it receives no new requests until it is listed again.
     pub fn set_leaving(&mut self, id: UpstreamId) {
-        if let Some(at) = self.at(id) {
-            self.upstreams[at].leaving = true;
-            self.recount();
+        if let Some(position) = self.position(id) {
+            self.upstreams[position].leaving = true;
+            self.rebuild_counts();
         }
     }
 
-    fn recount(&mut self) {
-        self.open.clear();
-        self.out.clear();
-        for (at, upstream) in (0u32..).zip(&mut self.upstreams) {
-            upstream.open_at = NOT_OPEN;
-            if upstream.has_room() {
-                upstream.open_at = self.open.len() as u32;
-                self.open.push(at);
+    fn rebuild_counts(&mut self) {
+        self.available.clear();
+        self.ejected.clear();
+        for (position, upstream) in (0u32..).zip(&mut self.upstreams) {
+            upstream.available_index = NOT_AVAILABLE;
+            if upstream.has_free_slot() {
+                upstream.available_index = self.available.len() as u32;
+                self.available.push(position);
             }
-            if upstream.health.is_out() && !upstream.leaving {
-                self.out.push(at);
+            if upstream.health.is_ejected() && !upstream.leaving {
+                self.ejected.push(position);
             }
         }
         let usable = || self.upstreams.iter().filter(|upstream| !upstream.leaving);
@@ -170,195 +183,203 @@
         self.share = usable().map(|upstream| upstream.share).sum();
         self.slots = usable().map(|upstream| upstream.spec.slots).sum();
         self.peer_in_flight = self.upstreams.iter().map(|upstream| upstream.peer_in_flight).sum();
-        self.out_share = self.out.iter().map(|at| self.upstreams[*at as usize].share).sum();
+        self.ejected_share =
+            self.ejected.iter().map(|position| self.upstreams[*position as usize].share).sum();
     }
 
-    /// Position of an upstream, valid until the next [`Pool::set_upstreams`].
-    pub fn at(&self, id: UpstreamId) -> Option<usize> {
-        self.index.get(&id).map(|at| *at as usize)
+    /// Returns the position of an upstream, valid until the next [`Pool::set_upstreams`].
+    pub fn position(&self, id: UpstreamId) -> Option<usize> {
+        self.index.get(&id).map(|position| *position as usize)
     }
 
-    /// The upstream at a position.
-    pub fn get(&self, at: usize) -> &Upstream {
-        &self.upstreams[at]
+    /// Returns the upstream at a position.
+    pub fn get(&self, position: usize) -> &Upstream {
+        &self.upstreams[position]
     }
 
-    /// All upstreams.
+    /// Returns all upstreams, including those that are leaving.
     pub fn iter(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.iter()
     }
 
-    /// Upstreams that are not leaving.
+    /// Number of upstreams that are not leaving.
     pub fn usable(&self) -> usize {
         self.usable
     }
 
-    /// Upstreams that have room of this daemon's own.
-    pub fn open(&self) -> usize {
-        self.open.len()
+    /// Number of upstreams with a free slot that this daemon owns.
+    pub fn available(&self) -> usize {
+        self.available.len()
     }
 
-    /// Upstreams that are out.
-    pub fn out(&self) -> usize {
-        self.out.len()
+    /// Number of ejected upstreams.
+    pub fn ejected(&self) -> usize {
+        self.ejected.len()
     }
 
-    /// This daemon's requests in flight.
+    /// This daemon's requests in flight at all upstreams.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Slots that serve this daemon's requests: its own, without those of upstreams that are out;
-    /// all of the pool's when it owns none.
+    /// Slots that serve this daemon's requests: the slots that it owns at upstreams that are not
+    /// ejected, or all slots of the pool if it owns none.
     pub fn serving_slots(&self) -> u32 {
         if self.share == 0 {
             return self.slots;
         }
-        self.share.saturating_sub(self.out_share).max(1)
+        self.share.saturating_sub(self.ejected_share).max(1)
     }
 
-    /// Changes what the other daemons have at an upstream.
-    pub fn add_peer_load(&mut self, id: UpstreamId, change: i64) {
-        if let Some(at) = self.at(id) {
-            let upstream = &mut self.upstreams[at];
+    /// Adds `delta` to the other daemons' requests at an upstream.
+    pub fn add_peer_load(&mut self, id: UpstreamId, delta: i64) {
+        if let Some(position) = self.position(id) {
+            let upstream = &mut self.upstreams[position];
             let before = upstream.peer_in_flight;
-            upstream.peer_in_flight = before.saturating_add_signed(change as i32);
+            upstream.peer_in_flight = before.saturating_add_signed(delta as i32);
             let after = upstream.peer_in_flight;
             self.peer_in_flight = (self.peer_in_flight + after).saturating_sub(before);
         }
     }
 
-    /// An upstream that a probe may go to.
+    /// Returns an ejected upstream that is due for a probe.
     pub fn probe(&self, now_us: u64) -> Option<usize> {
-        self.out.iter().map(|at| *at as usize).find(|at| {
-            let upstream = &self.upstreams[*at];
+        self.ejected.iter().map(|position| *position as usize).find(|position| {
+            let upstream = &self.upstreams[*position];
             upstream.in_flight < upstream.share.max(1) && upstream.health.probe_due(now_us)
         })
     }
 
-    /// The better of two upstreams with room, drawn at random; `avoid` only if there is no other.
+    /// Returns the better of two random upstreams with a free slot. `avoid` is returned only if no
+    /// other upstream is found.
     pub fn pick(
         &self,
         now_us: u64,
         rng: &mut Pcg64Mcg,
         avoid: Option<UpstreamId>,
     ) -> Option<usize> {
-        if self.open.is_empty() {
+        if self.available.is_empty() {
             return None;
         }
         let (mut best, mut fallback): (Option<usize>, Option<usize>) = (None, None);
-        for _ in 0..DRAWS {
-            let at = self.open[rng.random_range(0..self.open.len())] as usize;
-            let upstream = &self.upstreams[at];
+        for _ in 0..MAX_DRAWS {
+            let drawn = self.available[rng.random_range(0..self.available.len())] as usize;
+            let upstream = &self.upstreams[drawn];
             if !upstream.health.admits(now_us) {
                 continue;
             }
             if Some(upstream.spec.id) == avoid {
-                fallback = Some(at);
+                fallback = Some(drawn);
                 continue;
             }
             match best {
-                None => best = Some(at),
-                Some(other) if upstream.cost() < self.upstreams[other].cost() => return Some(at),
+                None => best = Some(drawn),
+                Some(prev) if upstream.cost() < self.upstreams[prev].cost() => return Some(drawn),
                 Some(_) => return best,
             }
         }
         best.or(fallback)
     }
 
-    /// A slot that looks free, for a daemon that owns none.
+    /// Returns an upstream with a slot that appears free, for a daemon that owns no slots.
     ///
-    /// A daemon with slots of its own never borrows: reports are older than most requests run, so
-    /// several borrowers would fill the same "free" slot, and its owner too.
+    /// A daemon that owns slots never borrows. Load reports are older than the duration of most
+    /// requests, so several borrowers and the owner would use the same slot at once.
     pub fn borrow(&self, rng: &mut Pcg64Mcg) -> Option<usize> {
         if self.share > 0 || self.upstreams.is_empty() {
             return None;
         }
-        (0..DRAWS).map(|_| rng.random_range(0..self.upstreams.len())).find(|at| {
-            let upstream = &self.upstreams[*at];
+        (0..MAX_DRAWS).map(|_| rng.random_range(0..self.upstreams.len())).find(|position| {
+            let upstream = &self.upstreams[*position];
             let load = upstream.in_flight + upstream.peer_in_flight;
-            !upstream.leaving && !upstream.health.is_out() && load < upstream.spec.slots
+            !upstream.leaving && !upstream.health.is_ejected() && load < upstream.spec.slots
         })
     }
 
-    /// Notes a request on its way to the upstream.
-    pub fn enter(&mut self, at: usize, now_us: u64, mean_us: f64) {
-        let upstream = &mut self.upstreams[at];
+    /// Records that a request is sent to the upstream.
+    pub fn request_started(&mut self, position: usize, now_us: u64, mean_us: f64) {
+        let upstream = &mut self.upstreams[position];
         upstream.in_flight += 1;
         upstream.health.sent(now_us, mean_us / f64::from(upstream.share.max(1)));
         self.in_flight += 1;
-        self.reopen(at);
+        self.update_availability(position);
     }
 
-    /// Notes the end of a request.
-    pub fn leave(&mut self, at: usize) {
-        self.upstreams[at].in_flight -= 1;
+    /// Records that a request at the upstream has ended.
+    pub fn request_finished(&mut self, position: usize) {
+        self.upstreams[position].in_flight -= 1;
         self.in_flight -= 1;
-        self.reopen(at);
+        self.update_availability(position);
     }
 
-    /// Takes in the duration of an answered exchange.
-    pub fn record_latency(&mut self, at: usize, took_us: u64) {
-        let latency_us = &mut self.upstreams[at].latency_us;
+    /// Records the duration of an answered exchange.
+    pub fn record_latency(&mut self, position: usize, took_us: u64) {
+        let latency_us = &mut self.upstreams[position].latency_us;
         if *latency_us == 0.0 {
             *latency_us = took_us as f32;
         }
         *latency_us += (took_us as f32 - *latency_us) * LATENCY_WEIGHT;
     }
 
-    /// Takes in whether an exchange was slow.
-    pub fn timed(&mut self, at: usize, now_us: u64, slow: bool) {
-        let health = &mut self.upstreams[at].health;
-        let was_out = health.is_out();
-        let verdict = health.timed(now_us, slow);
-        if was_out && !health.is_out() {
-            self.readmit(at);
+    /// Records whether an exchange was slow, and ejects or readmits the upstream accordingly.
+    pub fn record_timing(&mut self, position: usize, now_us: u64, slow: bool) {
+        let health = &mut self.upstreams[position].health;
+        let was_ejected = health.is_ejected();
+        let cause_to_eject = health.record_timing(now_us, slow);
+        if was_ejected && !health.is_ejected() {
+            self.readmit(position);
         }
-        self.judge(at, now_us, verdict);
+        self.eject_if_allowed(position, now_us, cause_to_eject);
     }
 
-    /// Takes in whether an exchange failed.
-    pub fn ended(&mut self, at: usize, now_us: u64, failed: bool) {
-        let health = &mut self.upstreams[at].health;
-        let verdict = if failed {
+    /// Records whether an exchange failed, and ejects the upstream if it fails too often.
+    pub fn ended(&mut self, position: usize, now_us: u64, failed: bool) {
+        let health = &mut self.upstreams[position].health;
+        let cause_to_eject = if failed {
             health.failed(now_us)
         } else {
             health.succeeded();
             None
         };
-        self.judge(at, now_us, verdict);
+        self.eject_if_allowed(position, now_us, cause_to_eject);
     }
 
-    fn judge(&mut self, at: usize, now_us: u64, verdict: Option<Cause>) {
-        let Some(cause) = verdict else { return };
-        let upstream = &mut self.upstreams[at];
-        if upstream.leaving || self.out.len() >= most_out(cause, self.usable) {
-            return upstream.health.pardon();
+    fn eject_if_allowed(
+        &mut self,
+        position: usize,
+        now_us: u64,
+        cause_to_eject: Option<EjectionCause>,
+    ) {
+        let Some(cause) = cause_to_eject else { return };
+        let upstream = &mut self.upstreams[position];
+        if upstream.leaving || self.ejected.len() >= max_ejected(cause, self.usable) {
+            return upstream.health.reset_scores();
         }
         upstream.health.eject(now_us, cause);
-        self.out_share += upstream.share;
-        self.out.push(at as u32);
-        self.reopen(at);
+        self.ejected_share += upstream.share;
+        self.ejected.push(position as u32);
+        self.update_availability(position);
     }
 
-    fn readmit(&mut self, at: usize) {
-        if let Some(place) = self.out.iter().position(|out| *out as usize == at) {
-            self.out.swap_remove(place);
-            self.out_share -= self.upstreams[at].share;
+    fn readmit(&mut self, position: usize) {
+        if let Some(place) = self.ejected.iter().position(|other| *other as usize == position) {
+            self.ejected.swap_remove(place);
+            self.ejected_share -= self.upstreams[position].share;
         }
-        self.reopen(at);
+        self.update_availability(position);
     }
 
-    fn reopen(&mut self, at: usize) {
-        let (room, open_at) = (self.upstreams[at].has_room(), self.upstreams[at].open_at);
-        if room && open_at == NOT_OPEN {
-            self.upstreams[at].open_at = self.open.len() as u32;
-            self.open.push(at as u32);
-        } else if !room && open_at != NOT_OPEN {
-            self.upstreams[at].open_at = NOT_OPEN;
-            self.open.swap_remove(open_at as usize);
-            if let Some(moved) = self.open.get(open_at as usize) {
-                self.upstreams[*moved as usize].open_at = open_at;
+    fn update_availability(&mut self, position: usize) {
+        let (has_free_slot, available_index) =
+            (self.upstreams[position].has_free_slot(), self.upstreams[position].available_index);
+        if has_free_slot && available_index == NOT_AVAILABLE {
+            self.upstreams[position].available_index = self.available.len() as u32;
+            self.available.push(position as u32);
+        } else if !has_free_slot && available_index != NOT_AVAILABLE {
+            self.upstreams[position].available_index = NOT_AVAILABLE;
+            self.available.swap_remove(available_index as usize);
+            if let Some(moved) = self.available.get(available_index as usize) {
+                self.upstreams[*moved as usize].available_index = available_index;
             }
         }
     }
--- a/crates/agatesill_policy/tests/request_no_allocation.rs
+++ b/crates/agatesill_policy/tests/request_no_allocation.rs
@@ -1,4 +1,4 @@
-//! The decision allocates nothing once its tables have grown.
+//! Requests cause no allocations once the tables of the policy have grown.
 #![allow(unsafe_code, reason = "a counting allocator can't be written without it")]
 
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -10,11 +10,11 @@
     static ALLOCATIONS: Cell<u64> = const { Cell::new(0) };
 }
 
-struct Counting;
+struct CountingAllocator;
 
-// SAFETY: every call is handed to the system's allocator unchanged; counting touches only a
-// constant-initialised thread-local cell, which itself allocates nothing.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded unchanged to the system allocator. The counter is a
+// constant-initialised thread-local cell, so counting does not allocate.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         let _ = ALLOCATIONS.try_with(|count| count.set(count.get() + 1));
         unsafe { System.alloc(layout) }
@@ -26,36 +26,41 @@
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static GLOBAL_ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const UPSTREAMS: u32 = 50;
 const SLOTS: u32 = 8;
 
-/// Arrivals and answers in turn, with `ahead` more requests than answers throughout.
-fn rounds(policy: &mut RequestPolicy, actions: &mut Vec<Action>, from: u64, ahead: u64) {
-    for ticket in from..from + 20_000 {
+/// Alternates arrivals and responses, with `in_flight` requests outstanding throughout.
+fn rounds(
+    policy: &mut RequestPolicy,
+    actions: &mut Vec<Action>,
+    first_ticket: u64,
+    in_flight: u64,
+) {
+    for ticket in first_ticket..first_ticket + 20_000 {
         let now_us = ticket * 100;
         let (caller, key) = (ticket % 20, ticket % 7);
         let deadline_us = now_us + 9_000_000;
         let head = RequestHead { ticket, service: 0, caller, key, deadline_us, repeatable: true };
         policy.arrive(now_us, head, actions);
-        if ticket >= ahead {
-            policy.finish(now_us, ticket - ahead, Outcome::Answered, actions);
+        if ticket >= in_flight {
+            policy.finish(now_us, ticket - in_flight, Outcome::Answered, actions);
         }
         actions.clear();
     }
 }
 
 #[test]
-fn deciding_allocates_nothing_with_and_without_a_queue() {
-    for ahead in [200, u64::from(UPSTREAMS * SLOTS) + 20] {
+fn steady_state_does_not_allocate_with_or_without_a_queue() {
+    for in_flight in [200, u64::from(UPSTREAMS * SLOTS) + 20] {
         let mut policy = RequestPolicy::new(1, "entry-0", "zone-0");
         let spec = |id| UpstreamSpec { id, slots: SLOTS, zone: "zone-0".to_owned() };
         policy.set_upstreams(0, &(0..UPSTREAMS).map(spec).collect::<Vec<_>>());
         let mut actions = Vec::with_capacity(1_024);
-        rounds(&mut policy, &mut actions, 0, ahead);
+        rounds(&mut policy, &mut actions, 0, in_flight);
         let before = ALLOCATIONS.with(Cell::get);
-        rounds(&mut policy, &mut actions, 20_000, ahead);
-        assert_eq!(ALLOCATIONS.with(Cell::get) - before, 0, "{ahead} ahead");
+        rounds(&mut policy, &mut actions, 20_000, in_flight);
+        assert_eq!(ALLOCATIONS.with(Cell::get) - before, 0, "{in_flight} requests in flight");
     }
 }
--- a/crates/agatesill_policy/tests/request_policy.rs
+++ b/crates/agatesill_policy/tests/request_policy.rs
@@ -1,4 +1,4 @@
-//! Invariants of the request policy under random events, with stories of the failures behind them.
+//! Invariants of the request policy under random events, and regression tests for single failures.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,9 +28,9 @@
     RequestHead { ticket, service: 0, caller, key: ticket, deadline_us, repeatable }
 }
 
-/// What a caller of the policy sees of each ticket, checked at every action.
+/// State of each ticket as seen by the caller of the policy; checks every action against it.
 #[derive(Debug, Default)]
-struct Books {
+struct TicketAudit {
     sent: BTreeMap<Ticket, UpstreamId>,
     waiting: BTreeSet<Ticket>,
     ended: BTreeSet<Ticket>,
@@ -38,7 +38,7 @@
     non_repeatable: BTreeSet<Ticket>,
 }
 
-impl Books {
+impl TicketAudit {
     fn arrive(&mut self, ticket: Ticket, repeatable: bool) {
         self.waiting.insert(ticket);
         if !repeatable {
@@ -51,31 +51,40 @@
         self.waiting.remove(&ticket);
     }
 
-    fn take(&mut self, policy: &RequestPolicy, actions: &mut Vec<Action>) {
+    fn check_actions(&mut self, policy: &RequestPolicy, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             match action {
                 Action::Send { ticket, upstream, decision } => {
-                    assert!(self.waiting.remove(&ticket), "ticket {ticket} sent out of turn");
-                    let twice = self.may_have_run.contains(&ticket)
+                    assert!(
+                        self.waiting.remove(&ticket),
+                        "ticket {ticket} sent while it was not waiting"
+                    );
+                    let may_run_twice = self.may_have_run.contains(&ticket)
                         && self.non_repeatable.contains(&ticket);
-                    assert!(!twice, "ticket {ticket} may run twice");
-                    let most = match decision.choice {
+                    assert!(!may_run_twice, "ticket {ticket} may run twice");
+                    let max_in_flight = match decision.choice {
                         Choice::OwnSlot => decision.share,
                         Choice::Probe => decision.share.max(1),
-                        // Only a daemon that owns no usable slot borrows.
+                        // Only a daemon that owns no usable slot may borrow one.
                         Choice::Borrowed => SLOTS,
                     };
-                    assert!(decision.in_flight <= most, "{decision:?}");
+                    assert!(decision.in_flight <= max_in_flight, "{decision:?}");
                     self.sent.insert(ticket, upstream);
                 }
                 Action::Refuse { ticket, .. } => {
-                    assert!(!self.may_have_run.contains(&ticket), "ticket {ticket}: false not run");
+                    assert!(
+                        !self.may_have_run.contains(&ticket),
+                        "ticket {ticket} refused as not run, but it may have run"
+                    );
                     self.end(ticket);
                 }
                 Action::GiveUp { ticket, outcome, .. } => {
-                    let said = outcome != Outcome::Broken;
+                    let claims_not_run = outcome != Outcome::Broken;
                     let ran = self.may_have_run.contains(&ticket);
-                    assert!(!(said && ran), "ticket {ticket}: false not run by {outcome:?}");
+                    assert!(
+                        !(claims_not_run && ran),
+                        "ticket {ticket} given up as {outcome:?}, but it may have run"
+                    );
                     self.end(ticket);
                 }
             }
@@ -107,13 +116,13 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { caller: u64, repeatable: bool, patience_ms: u64 },
+    Arrive { caller: u64, repeatable: bool, timeout_ms: u64 },
     Finish { nth: usize, outcome: Outcome },
     Wait { ms: u64 },
     Leaving { upstream: UpstreamId },
-    Relist,
-    PeerGone,
-    PeerBack { load: u32 },
+    RelistUpstreams,
+    PeerTerminated,
+    PeerRecovered { load: u32 },
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -128,35 +137,35 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        12 => (0..4u64, any::<bool>(), 1..500u64).prop_map(|(caller, repeatable, patience_ms)| {
-            Step::Arrive { caller, repeatable, patience_ms }
+        12 => (0..4u64, any::<bool>(), 1..500u64).prop_map(|(caller, repeatable, timeout_ms)| {
+            Step::Arrive { caller, repeatable, timeout_ms }
         }),
         10 => (0..64usize, outcome()).prop_map(|(nth, outcome)| Step::Finish { nth, outcome }),
         4 => (0..60u64).prop_map(|ms| Step::Wait { ms }),
         1 => (0..5u32).prop_map(|upstream| Step::Leaving { upstream }),
-        1 => Just(Step::Relist),
-        1 => Just(Step::PeerGone),
-        1 => (0..4u32).prop_map(|load| Step::PeerBack { load }),
+        1 => Just(Step::RelistUpstreams),
+        1 => Just(Step::PeerTerminated),
+        1 => (0..4u32).prop_map(|load| Step::PeerRecovered { load }),
     ]
 }
 
-fn play(steps: &[Step], seed: u64) -> Vec<String> {
+fn run(steps: &[Step], seed: u64) -> Vec<String> {
     let mut policy = policy(seed, 5, &["entry-1", "entry-2"]);
-    let mut books = Books::default();
+    let mut audit = TicketAudit::default();
     let (mut now_us, mut ticket, mut actions) = (0, 0, Vec::new());
     let mut seen = Vec::new();
     for step in steps {
         match step {
-            Step::Arrive { caller, repeatable, patience_ms } => {
+            Step::Arrive { caller, repeatable, timeout_ms } => {
                 ticket += 1;
-                books.arrive(ticket, *repeatable);
-                let head = head(ticket, *caller, *repeatable, now_us + patience_ms * 1_000);
+                audit.arrive(ticket, *repeatable);
+                let head = head(ticket, *caller, *repeatable, now_us + timeout_ms * 1_000);
                 policy.arrive(now_us, head, &mut actions);
             }
             Step::Finish { nth, outcome } => {
-                let count = books.sent.len().max(1);
-                if let Some(ticket) = books.sent.keys().nth(nth % count).copied() {
-                    books.finish(ticket, *outcome);
+                let count = audit.sent.len().max(1);
+                if let Some(ticket) = audit.sent.keys().nth(nth % count).copied() {
+                    audit.finish(ticket, *outcome);
                     policy.finish(now_us, ticket, *outcome, &mut actions);
                 }
             }
@@ -165,19 +174,19 @@
                 policy.tick(now_us, &mut actions);
             }
             Step::Leaving { upstream } => policy.upstream_leaving(now_us, *upstream),
-            Step::Relist => policy.set_upstreams(now_us, &specs(5)),
-            Step::PeerGone => policy.peer_terminated(now_us, "entry-1"),
-            Step::PeerBack { load } => {
+            Step::RelistUpstreams => policy.set_upstreams(now_us, &specs(5)),
+            Step::PeerTerminated => policy.peer_terminated(now_us, "entry-1"),
+            Step::PeerRecovered { load } => {
                 policy.update_peer_loads(now_us, "entry-1", 0, &[(0, *load)])
             }
         }
         seen.extend(actions.iter().map(|action| format!("{action:?}")));
-        books.take(&policy, &mut actions);
+        audit.check_actions(&policy, &mut actions);
     }
-    // Whatever still waits gets its final answer without any further event than time.
+    // Each waiting request must end by the passage of time alone.
     policy.tick(now_us + 10_000_000, &mut actions);
-    books.take(&policy, &mut actions);
-    assert!(books.waiting.is_empty(), "still waiting: {:?}", books.waiting);
+    audit.check_actions(&policy, &mut actions);
+    assert!(audit.waiting.is_empty(), "still waiting: {:?}", audit.waiting);
     seen
 }
 
@@ -185,27 +194,27 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn each_ticket_ends_once_and_nothing_runs_twice(
+    fn each_ticket_ends_once_and_non_repeatable_requests_run_at_most_once(
         steps in prop::collection::vec(step(), 1..400),
         seed in 0..1_000u64,
     ) {
-        play(&steps, seed);
+        run(&steps, seed);
     }
 
     #[test]
-    fn the_same_seed_and_events_give_the_same_actions(
+    fn same_seed_and_events_produce_same_actions(
         steps in prop::collection::vec(step(), 1..200),
         seed in 0..1_000u64,
     ) {
-        prop_assert_eq!(play(&steps, seed), play(&steps, seed));
+        prop_assert_eq!(run(&steps, seed), run(&steps, seed));
     }
 }
 
 #[test]
-fn a_non_repeatable_request_whose_exchange_broke_is_never_sent_again() {
-    // A broker's limit decision is sent, and the connection breaks after the first bytes left.
-    // Were it tried again elsewhere, the upstream that did run it and the second one would both
-    // issue a limit. The broker has to be told that the outcome is unknown.
+fn non_repeatable_request_is_not_retried_after_a_broken_exchange() {
+    // The connection breaks after the first bytes of a non-repeatable request were sent. A retry at
+    // another upstream could run the request twice. The caller must get the outcome `Broken`, which
+    // reports the result as unknown.
     for seed in 0..50 {
         let mut policy = policy(seed, 5, &[]);
         let mut actions = Vec::new();
@@ -223,9 +232,10 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_not_called_not_run_after_a_later_attempt_that_was_not_sent() {
-    // The first attempt breaks half way, the retry finds a closed port. Judged by its last attempt
-    // alone the request would be answered `not run`, and the caller would repeat what may have run.
+fn broken_attempt_is_reported_although_a_later_attempt_was_not_sent() {
+    // The connection of the first attempt breaks, and the retry finds a closed port. If only the
+    // last attempt counted, the request would be reported as not run, and the caller would repeat a
+    // request that may have run.
     let mut policy = policy(1, 5, &[]);
     let mut actions = Vec::new();
     policy.arrive(0, head(1, 7, true, 1_000_000), &mut actions);
@@ -239,7 +249,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_finish_in_time_is_refused_at_once() {
+fn request_that_cannot_meet_its_deadline_is_refused_immediately() {
     let mut policy = policy(1, 1, &[]);
     let mut actions = Vec::new();
     policy.arrive(0, head(1, 7, true, 1_000), &mut actions);
@@ -250,16 +260,16 @@
 }
 
 #[test]
-fn a_leaving_upstream_gets_nothing_more_until_it_is_listed_again() {
-    // An executor drains for a restart. The platform's list still names it for seconds, while its
-    // closed connections say that it goes; what is sent there now is lost when it stops.
+fn leaving_upstream_receives_no_requests_until_it_is_listed_again() {
+    // An upstream drains for a restart and closes its connections, but the platform lists it for
+    // some seconds more. Requests sent to it in that time would be lost when it stops.
     let mut policy = policy(1, 2, &[]);
     let mut actions = Vec::new();
     policy.upstream_leaving(0, 0);
     for ticket in 1..=4 {
         policy.arrive(0, head(ticket, ticket, true, 1_000_000), &mut actions);
     }
-    let to = |actions: &[Action]| {
+    let sent_upstreams = |actions: &[Action]| {
         actions
             .iter()
             .filter_map(|action| match action {
@@ -268,17 +278,17 @@
             })
             .collect::<Vec<_>>()
     };
-    assert_eq!(to(&actions), vec![1; 4]);
+    assert_eq!(sent_upstreams(&actions), vec![1; 4]);
     actions.clear();
     policy.set_upstreams(1, &specs(2));
     policy.arrive(1, head(5, 5, true, 1_000_000), &mut actions);
-    assert_eq!(to(&actions), vec![0]);
+    assert_eq!(sent_upstreams(&actions), vec![0]);
 }
 
 #[test]
-fn without_any_upstream_everything_that_waits_is_refused_at_once() {
-    // All executors of a pool go away while requests wait. Held back until their deadlines, the
-    // callers would learn after seconds what was certain from the start.
+fn waiting_requests_are_refused_immediately_if_no_upstream_remains() {
+    // All upstreams of a pool terminate while requests wait. If the requests waited until their
+    // deadlines, their callers would get the certain refusal only after seconds.
     let mut policy = policy(1, 1, &[]);
     let mut actions = Vec::new();
     for ticket in 1..=6 {
@@ -297,9 +307,9 @@
 }
 
 #[test]
-fn a_full_queue_gives_up_the_hot_callers_requests_first() {
-    // One law firm's script floods the queue. A fee earner of another firm who calls once must
-    // neither be refused for it nor wait behind all of it.
+fn full_queue_evicts_requests_of_the_hot_caller_first() {
+    // One caller floods the queue. Another caller's single request must neither be refused nor wait
+    // behind all requests of the first caller.
     let mut policy = policy(1, 1, &[]);
     let mut actions = Vec::new();
     for ticket in 1..=60 {
@@ -309,25 +319,25 @@
     policy.arrive(0, head(100, 2, true, 9_000_000), &mut actions);
     assert!(matches!(actions.as_slice(), [Action::Refuse { ticket: 5..=60, .. }]), "{actions:?}");
     actions.clear();
-    let first = 1;
-    policy.finish(1_000, first, Outcome::Answered, &mut actions);
+    let first_ticket = 1;
+    policy.finish(1_000, first_ticket, Outcome::Answered, &mut actions);
     let next = actions.iter().position(|action| matches!(action, Action::Send { ticket: 100, .. }));
     assert_eq!(next, Some(0), "{actions:?}");
 }
 
 #[test]
 #[should_panic(expected = "may run twice")]
-fn the_books_catch_a_policy_that_sends_again_after_a_byte_left() {
-    // The invariants above are only worth something if a broken policy shows in them: here the
-    // second attempt that a wrong retry rule would make is put in by hand.
+fn audit_detects_a_second_send_of_a_non_repeatable_request() {
+    // Verifies that the audit detects a faulty policy: the test injects the second attempt that a
+    // wrong retry rule would make.
     let mut policy = policy(1, 5, &[]);
-    let mut books = Books::default();
+    let mut audit = TicketAudit::default();
     let mut actions = Vec::new();
-    books.arrive(1, false);
+    audit.arrive(1, false);
     policy.arrive(0, head(1, 7, false, 1_000_000), &mut actions);
     let again = actions[0].clone();
-    books.take(&policy, &mut actions);
-    books.finish(1, Outcome::Broken);
+    audit.check_actions(&policy, &mut actions);
+    audit.finish(1, Outcome::Broken);
     policy.finish(1_000, 1, Outcome::Broken, &mut actions);
-    books.take(&policy, &mut vec![again]);
+    audit.check_actions(&policy, &mut vec![again]);
 }
