--- a/crates/agatesill_bench/src/capacity/ledger.rs
+++ b/crates/agatesill_bench/src/capacity/ledger.rs
@@ -108,7 +108,7 @@
 /// A store client that reaches the stand-in without a network.
 pub fn store_over(standin: &StoreStandin) -> Store {
     let standin = standin.clone();
-    Store::over(Arc::new(move |call, _| {
+    Store::with_transport(Arc::new(move |call, _| {
         let standin = standin.clone();
         Box::pin(async move { standin.call(call).await })
     }))
--- a/crates/agatesill_coord/examples/counter.rs
+++ b/crates/agatesill_coord/examples/counter.rs
@@ -61,7 +61,7 @@
 
 fn store(memory: &Arc<Mutex<Memory>>) -> Store {
     let memory = memory.clone();
-    Store::over(Arc::new(move |call, _limit| {
+    Store::with_transport(Arc::new(move |call, _limit| {
         let reply = memory.lock().unwrap_or_else(PoisonError::into_inner).answer(call);
         Box::pin(async move { Ok(reply) })
     }))
--- a/crates/agatesill_coord/src/commit_log/mod.rs
+++ b/crates/agatesill_coord/src/commit_log/mod.rs
@@ -180,7 +180,7 @@
     }
 
     /// How many of the first `deltas` fit into one record.
-    pub fn fitting<D: Serialize>(deltas: &[D]) -> Result<usize, Error> {
+    pub fn count_fitting<D: Serialize>(deltas: &[D]) -> Result<usize, Error> {
         let mut used_bytes = ENVELOPE_BYTES;
         for (count, delta) in deltas.iter().enumerate() {
             used_bytes += encode(&encode(delta)?)?.len();
@@ -197,7 +197,7 @@
     ///   the deltas stand is for the new owner to say.
     /// - [`ErrorKind::StoreUnavailable`]: not known; keep the deltas and [`CommitLog::resolve`].
     /// - [`ErrorKind::RingFull`]: a snapshot is due first; nothing was written.
-    /// - [`ErrorKind::TooLarge`]: see [`CommitLog::fitting`]; nothing was written.
+    /// - [`ErrorKind::TooLarge`]: see [`CommitLog::count_fitting`]; nothing was written.
     pub async fn append<D: Serialize>(&mut self, deltas: &[D]) -> Result<(), Error> {
         self.check_owner()?;
         self.check_settled()?;
--- a/crates/agatesill_coord/src/commit_log/snapshot.rs
+++ b/crates/agatesill_coord/src/commit_log/snapshot.rs
@@ -123,7 +123,7 @@
 
     /// Removes the chunks that owners before this one left. Call it after this owner's first
     /// snapshot: from then on no head can name them.
-    pub async fn sweep_chunks(&mut self) -> Result<u64, Error> {
+    pub async fn delete_stale_chunks(&mut self) -> Result<u64, Error> {
         if self.snapshot_seq < self.first_seq || self.pending_head.is_some() {
             return Ok(0);
         }
--- a/crates/agatesill_coord/src/config/change.rs
+++ b/crates/agatesill_coord/src/config/change.rs
@@ -7,14 +7,14 @@
 use agatesill_wire::prelude::*;
 use serde::Serialize;
 
-use super::floor::Floor;
+use super::floor::DeclaredCapacity;
 
 /// Applies `change` to `current`, checks the outcome and adds it to the history.
 pub fn next_version(
     current: &VersionedConfig,
     change: &ConfigChange,
     at_ms: u64,
-    floor: &Floor,
+    floor: &DeclaredCapacity,
 ) -> Result<VersionedConfig, Error> {
     if change.base_version != 0 && change.base_version != current.version {
         return Err(lost_race(current, change.base_version));
@@ -46,7 +46,7 @@
     to: u64,
     change: &ConfigChange,
     at_ms: u64,
-    floor: &Floor,
+    floor: &DeclaredCapacity,
 ) -> Result<VersionedConfig, Error> {
     if change.base_version != 0 && change.base_version != current.version {
         return Err(lost_race(current, change.base_version));
@@ -84,7 +84,7 @@
     mut next: VersionedConfig,
     change: &ConfigChange,
     at_ms: u64,
-    floor: &Floor,
+    floor: &DeclaredCapacity,
 ) -> Result<VersionedConfig, Error> {
     next.doc.validate().map_err(|error| Error::new(ErrorKind::BadRequest, error.to_string()))?;
     let mut changes = Vec::new();
@@ -100,7 +100,7 @@
         ),
     };
     let beyond = floor.beyond(&next.doc);
-    if floor.refuse && !beyond.is_empty() {
+    if floor.reject_overcommit && !beyond.is_empty() {
         return Err(Error::new(ErrorKind::Impossible, beyond.join("; ")));
     }
     changes.extend(beyond.into_iter().map(|line| format!("warning: {line}")));
--- a/crates/agatesill_coord/src/config/floor.rs
+++ b/crates/agatesill_coord/src/config/floor.rs
@@ -6,16 +6,16 @@
 
 /// What the floor holds, as the accepting daemon's settings say.
 #[derive(Clone, Debug, Default)]
-pub struct Floor {
+pub struct DeclaredCapacity {
     /// Processors of all workers, in thousandths; 0 means not known.
     pub cpu_milli: u64,
     /// Slots of the upstreams by pool; empty means not known.
     pub pool_slots: BTreeMap<String, u64>,
     /// Whether a change that sells more than the floor holds is refused, not only warned of.
-    pub refuse: bool,
+    pub reject_overcommit: bool,
 }
 
-impl Floor {
+impl DeclaredCapacity {
     /// What `doc` sells beyond the floor, one line each with the arithmetic.
     pub fn beyond(&self, doc: &ConfigDoc) -> Vec<String> {
         let mut lines = Vec::new();
--- a/crates/agatesill_coord/src/config/mod.rs
+++ b/crates/agatesill_coord/src/config/mod.rs
@@ -24,7 +24,7 @@
 use self::archive::Archive;
 pub use self::archive::HISTORY_KEPT;
 pub use self::change::next_version;
-pub use self::floor::Floor;
+pub use self::floor::DeclaredCapacity;
 use crate::store::Store;
 
 /// Prefix of all keys of the configuration.
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub struct ConfigStore {
     store: Store,
-    floor: Arc<Floor>,
+    floor: Arc<DeclaredCapacity>,
     archive: Arc<Mutex<Archive>>,
 }
 
@@ -62,7 +62,7 @@
     }
 
     /// The same with promises added up against `floor`.
-    pub fn with_floor(self, floor: Floor) -> Self {
+    pub fn with_declared_capacity(self, floor: DeclaredCapacity) -> Self {
         Self { floor: Arc::new(floor), ..self }
     }
 
--- a/crates/agatesill_coord/src/dependency.rs
+++ b/crates/agatesill_coord/src/dependency.rs
@@ -91,17 +91,17 @@
     }
 
     /// Calls that failed since the last one that was answered.
-    pub fn failed_in_a_row(&self) -> u32 {
+    pub fn consecutive_failures(&self) -> u32 {
         self.lock().failures
     }
 
     /// Whether the service counts as lost.
-    pub fn is_lost(&self) -> bool {
-        self.failed_in_a_row() >= FAILURES_TO_LOSE
+    pub fn is_unavailable(&self) -> bool {
+        self.consecutive_failures() >= FAILURES_TO_LOSE
     }
 
     /// How long the service has been lost; zero while it is not.
-    pub fn away(&self) -> Duration {
+    pub fn unavailable_for(&self) -> Duration {
         let state = self.lock();
         let first = state.first_failure.filter(|_| state.failures >= FAILURES_TO_LOSE);
         first.map_or(Duration::ZERO, |first| first.elapsed())
--- a/crates/agatesill_coord/src/lease.rs
+++ b/crates/agatesill_coord/src/lease.rs
@@ -22,7 +22,7 @@
 pub const OWNER_PREFIX: &str = "own/";
 
 /// Ranges under this prefix only say that the instance of that name holds a lease.
-pub const MEMBER_RANGE: &str = "member/";
+pub const MEMBER_RANGE_PREFIX: &str = "member/";
 
 /// A holder stops this share of the lease before its end. Clock rates of instances differ by far
 /// less than 1%; the rest is for the scheduling of threads between the check and the act.
@@ -127,14 +127,14 @@
     }
 
     /// Renews the lease, or grants a new one when the old is gone; then nothing is held any more.
-    /// Also announces this instance under [`MEMBER_RANGE`], once for each lease.
+    /// Also announces this instance under [`MEMBER_RANGE_PREFIX`], once for each lease.
     ///
     /// Guards against a slow answer: the time of validity counts from when the call was sent, since
     /// the service may have renewed at that moment.
     pub async fn renew(&mut self) -> Result<(), Error> {
         self.renew_unannounced().await?;
         if !self.is_announced {
-            let range = format!("{MEMBER_RANGE}{}", self.instance);
+            let range = format!("{MEMBER_RANGE_PREFIX}{}", self.instance);
             self.is_announced = self.claim(&range).await?;
             self.held.remove(&range);
         }
--- a/crates/agatesill_coord/src/membership.rs
+++ b/crates/agatesill_coord/src/membership.rs
@@ -124,12 +124,12 @@
     }
 
     /// Records who holds a store lease.
-    pub fn leased(&mut self, instances: BTreeSet<String>, now: Instant) {
+    pub fn update_leases(&mut self, instances: BTreeSet<String>, now: Instant) {
         self.leases = Some(Listed { read: now, entries: instances });
     }
 
     /// Records the platform's list; an empty one says nothing.
-    pub fn listed(&mut self, instances: BTreeMap<String, String>, now: Instant) {
+    pub fn update_platform_list(&mut self, instances: BTreeMap<String, String>, now: Instant) {
         self.platform = Some(Listed { read: now, entries: instances });
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Peers heard directly within the time limit, for telling others.
-    pub fn heard_lately(&self, now: Instant) -> Vec<String> {
+    pub fn recent_peers(&self, now: Instant) -> Vec<String> {
         let lately = |known: &&Known| self.is_fresh(known.peer.heard, now);
         let peers = self.peers.iter().filter(|(_, known)| lately(known));
         peers.map(|(name, _)| name.clone()).collect()
--- a/crates/agatesill_coord/src/peer_calls.rs
+++ b/crates/agatesill_coord/src/peer_calls.rs
@@ -21,7 +21,7 @@
 const MOST_LIMIT_MS: u64 = 10_000;
 
 /// A peer connection.
-pub type Link = Framed<TcpStream, FrameCodec>;
+pub type PeerConnection = Framed<TcpStream, FrameCodec>;
 
 /// What daemons ask one another.
 #[tarpc::service]
@@ -43,8 +43,8 @@
 
 /// Answers the calls on `link`, whose handshake is done, until the peer closes it. `newer` returns
 /// the configuration in force if its version is above the one given.
-pub async fn answer_calls(
-    link: Link,
+pub async fn serve_peer_calls(
+    link: PeerConnection,
     newer: impl Fn(u64) -> Option<ConfigPush> + Send + Sync + 'static,
 ) {
     let answers = Answers { newer: Arc::new(newer) };
@@ -75,7 +75,7 @@
 }
 
 fn client_end(
-    link: Link,
+    link: PeerConnection,
 ) -> impl Transport<ClientMessage<PeerCallsRequest>, Response<PeerCallsResponse>> {
     link.filter_map(|received| ready(received.map(answer_of).transpose())).with(
         |message: ClientMessage<PeerCallsRequest>| {
@@ -85,7 +85,7 @@
 }
 
 fn server_end(
-    link: Link,
+    link: PeerConnection,
 ) -> impl Transport<Response<PeerCallsResponse>, ClientMessage<PeerCallsRequest>> {
     link.filter_map(|received| ready(received.map(call_of).transpose())).with(
         |response: Response<PeerCallsResponse>| ready(Ok::<_, Error>(frame(answer_body(response)))),
--- a/crates/agatesill_coord/src/spread.rs
+++ b/crates/agatesill_coord/src/range_assignment.rs
@@ -21,7 +21,7 @@
 }
 
 /// The owner that each of `ranges` should have; empty when no candidate has capacity.
-pub fn spread(ranges: &[&str], candidates: &[Candidate]) -> BTreeMap<String, String> {
+pub fn assign_ranges(ranges: &[&str], candidates: &[Candidate]) -> BTreeMap<String, String> {
     let candidates: Vec<&Candidate> = candidates.iter().filter(|one| one.capacity > 0).collect();
     let capacity: u64 = candidates.iter().map(|one| u64::from(one.capacity)).sum();
     let mut room: BTreeMap<&str, u64> = candidates
--- a/crates/agatesill_coord/src/store/follow.rs
+++ b/crates/agatesill_coord/src/store/follow.rs
@@ -22,7 +22,7 @@
 ///
 /// Guards against a change that falls between the reading and the watch: the watch counts from the
 /// revision that the reading had.
-pub async fn follow(
+pub async fn watch_prefix(
     store: Store,
     prefix: &str,
     stop: CancellationToken,
--- a/crates/agatesill_coord/src/store/gate.rs
+++ b/crates/agatesill_coord/src/store/gate.rs
@@ -168,7 +168,7 @@
             let pause = Duration::from_secs_f64((least - state.tokens) / self.calls_per_s);
             return Err(pause.max(SHORTEST_PAUSE));
         }
-        let is_probe = self.service.failed_in_a_row() > 0 && class != Class::Watch;
+        let is_probe = self.service.consecutive_failures() > 0 && class != Class::Watch;
         let is_behind = class == Class::Normal && state.urgent_waiting > 0;
         let is_full = class != Class::Watch && state.in_flight >= IN_FLIGHT_CALLS;
         if (is_probe && state.is_probing) || is_behind || is_full {
@@ -214,7 +214,7 @@
         if state.answered.is_some_and(|answered| now - answered < LATELY) {
             return;
         }
-        let pause = FIRST_PAUSE * (1 << self.gate.service.failed_in_a_row().min(8));
+        let pause = FIRST_PAUSE * (1 << self.gate.service.consecutive_failures().min(8));
         self.gate.service.failed(failure);
         state.failed = now;
         state.paused_until = now + pause.min(LONGEST_PAUSE).mul_f64(0.5 + jitter);
--- a/crates/agatesill_coord/src/store/mod.rs
+++ b/crates/agatesill_coord/src/store/mod.rs
@@ -22,7 +22,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub use self::follow::{WATCH_MS, follow};
+pub use self::follow::{WATCH_MS, watch_prefix};
 use self::gate::{Class, Gate};
 
 /// Answers of the service that take longer than this count as an outage.
@@ -33,7 +33,7 @@
 
 /// Calls a second that one process may make unless told otherwise. Eight daemons at this rate stay
 /// below the service's two thousand reads and several hundred writes.
-pub const CALLS_PER_S: u32 = 100;
+pub const DEFAULT_CALLS_PER_S: u32 = 100;
 
 /// Readings of one call that may turn out stale before it fails.
 const STALE_TRIES: usize = 3;
@@ -79,25 +79,25 @@
     /// Uses the service at `addr` over HTTP.
     pub fn over_http(addr: SocketAddr) -> Self {
         let client = JsonClient::default();
-        Self::over(Arc::new(move |call, limit| {
+        Self::with_transport(Arc::new(move |call, limit| {
             let client = client.clone();
             Box::pin(async move { client.call(Method::POST, addr, "/v1/kv", &call, limit).await })
         }))
     }
 
     /// Uses any transport.
-    pub fn over(transport: Transport) -> Self {
+    pub fn with_transport(transport: Transport) -> Self {
         Self {
             transport,
             counts: Arc::default(),
-            gate: Arc::new(Gate::new(CALLS_PER_S)),
+            gate: Arc::new(Gate::new(DEFAULT_CALLS_PER_S)),
             revision: Arc::default(),
             random: Arc::new(Mutex::new(Pcg64Mcg::seed_from_u64(rand::random()))),
         }
     }
 
     /// The same with a budget of `calls_per_s`, shared by all clones made from here on.
-    pub fn with_budget(self, calls_per_s: u32) -> Self {
+    pub fn with_rate_limit(self, calls_per_s: u32) -> Self {
         Self { gate: Arc::new(Gate::new(calls_per_s)), ..self }
     }
 
@@ -117,19 +117,19 @@
     }
 
     /// Calls that failed since the last one that was answered.
-    pub fn failed_in_a_row(&self) -> u32 {
-        self.gate.service().failed_in_a_row()
+    pub fn consecutive_failures(&self) -> u32 {
+        self.gate.service().consecutive_failures()
     }
 
     /// Whether call after call fails: a caller is then told at once to come back instead of waiting
     /// for a call that will not be answered.
-    pub fn is_lost(&self) -> bool {
-        self.gate.service().is_lost()
+    pub fn is_unavailable(&self) -> bool {
+        self.gate.service().is_unavailable()
     }
 
     /// How long call after call has failed; zero while calls are answered.
-    pub fn away(&self) -> Duration {
-        self.gate.service().away()
+    pub fn unavailable_for(&self) -> Duration {
+        self.gate.service().unavailable_for()
     }
 
     /// Lets the next call out soon where calls pause after failures. For a process that learns from
@@ -140,7 +140,7 @@
 
     /// Makes one call. An error says nothing about whether it took effect.
     pub async fn call(&self, call: StoreCall) -> Result<StoreReply, Error> {
-        self.call_telling(call).await.map_err(|error| match error.kind {
+        self.call_reporting_outcome(call).await.map_err(|error| match error.kind {
             ErrorKind::OutcomeUnknown => Error { kind: ErrorKind::StoreUnavailable, ..error },
             _ => error,
         })
@@ -148,7 +148,7 @@
 
     /// Makes one call. [`ErrorKind::OutcomeUnknown`] means that it may have taken effect, or may do
     /// so later; every other kind that it has not and never will.
-    pub async fn call_telling(&self, call: StoreCall) -> Result<StoreReply, Error> {
+    pub async fn call_reporting_outcome(&self, call: StoreCall) -> Result<StoreReply, Error> {
         for _ in 0..STALE_TRIES {
             // Guards against a stale read, as from a replica that lags: it would bring back a
             // configuration or an owner that this process knows to be past.
--- a/crates/agatesill_coord/tests/commit_log.rs
+++ b/crates/agatesill_coord/tests/commit_log.rs
@@ -120,7 +120,7 @@
     let (mut successor, found) = take(&client.store, "b").await;
     assert_eq!(found[..state.len()], state[..]);
     successor.snapshot(&found).await.unwrap();
-    assert!(successor.sweep_chunks().await.unwrap() > 0);
+    assert!(successor.delete_stale_chunks().await.unwrap() > 0);
     assert_eq!(take(&client.store, "c").await.1, found);
 }
 
--- a/crates/agatesill_coord/tests/config.rs
+++ b/crates/agatesill_coord/tests/config.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use agatesill_coord::config::{Floor, HISTORY_KEPT};
+use agatesill_coord::config::{DeclaredCapacity, HISTORY_KEPT};
 use agatesill_coord::prelude::*;
 use agatesill_policy::prelude::{Evacuation, Team};
 use agatesill_wire::api::ConfigChange;
@@ -41,8 +41,9 @@
             ..Faults::default()
         });
     }
-    let configs =
-        daemons.each_ref().map(|daemon| ConfigStore::new(daemon.store.clone().with_budget(10_000)));
+    let configs = daemons
+        .each_ref()
+        .map(|daemon| ConfigStore::new(daemon.store.clone().with_rate_limit(10_000)));
     let operators = (0..16_u32).map(|operator| {
         let config = configs[operator as usize % 2].clone();
         tokio::spawn(async move {
@@ -137,13 +138,14 @@
     for (name, quota_cpu_milli) in [("ledger", 600), ("bills", 500)] {
         change.teams.insert(name.to_owned(), Some(Team { weight: 1, quota_cpu_milli }));
     }
-    let floor = Floor { cpu_milli: 1_000, ..Floor::default() };
-    let strict =
-        ConfigStore::new(store.clone()).with_floor(Floor { refuse: true, ..floor.clone() });
+    let floor = DeclaredCapacity { cpu_milli: 1_000, ..DeclaredCapacity::default() };
+    let strict = ConfigStore::new(store.clone())
+        .with_declared_capacity(DeclaredCapacity { reject_overcommit: true, ..floor.clone() });
     let refused = strict.change(&change, 0).await.unwrap_err();
     assert_eq!(refused.kind, ErrorKind::Impossible);
     assert!(refused.detail.contains("bills 500 + ledger 600 = 1100, the floor holds 1000"));
-    let made = ConfigStore::new(store).with_floor(floor).change(&change, 0).await.unwrap();
+    let made =
+        ConfigStore::new(store).with_declared_capacity(floor).change(&change, 0).await.unwrap();
     assert!(made.history[0].changes.iter().any(|line| line.starts_with("warning: quotas")));
 }
 
--- a/crates/agatesill_coord/tests/dependency.rs
+++ b/crates/agatesill_coord/tests/dependency.rs
@@ -21,9 +21,9 @@
         changes
     };
     assert_eq!(changes.iter().filter(|change| **change == Belief::Lost).count(), 1);
-    assert!(store.is_lost());
+    assert!(store.is_unavailable());
     assert_eq!(store.answered(Instant::now()), Belief::Back { away_ms: 10_000 });
-    assert!(!store.is_lost());
+    assert!(!store.is_unavailable());
     assert_eq!(store.answered(Instant::now()), Belief::Unchanged);
 }
 
@@ -34,7 +34,7 @@
     let store = Dependency::new("store");
     for _ in 0..10 {
         assert_eq!(store.failed("connection reset"), Belief::Unchanged);
-        assert!(!store.is_lost());
+        assert!(!store.is_unavailable());
         assert_eq!(store.answered(Instant::now()), Belief::Unchanged);
     }
 }
@@ -51,6 +51,6 @@
     assert_eq!(store.failed("refused"), Belief::Lost);
     tokio::time::sleep(Duration::from_millis(700)).await;
     assert_eq!(store.answered(watch_sent), Belief::Unchanged);
-    assert!(store.is_lost());
+    assert!(store.is_unavailable());
     assert_eq!(store.answered(Instant::now()), Belief::Back { away_ms: 700 });
 }
--- a/crates/agatesill_coord/tests/linearisable.rs
+++ b/crates/agatesill_coord/tests/linearisable.rs
@@ -153,7 +153,7 @@
     let clients: Vec<Client> = (0..OWNERS).map(|nth| mem.client(seed * 10 + nth)).collect();
     let history = History::default();
     let owners = futures::future::join_all(clients.iter().zip(0..).map(|(client, nth)| {
-        let store = client.store.clone().with_budget(2_000).with_seed(seed * 10 + nth);
+        let store = client.store.clone().with_rate_limit(2_000).with_seed(seed * 10 + nth);
         own(store, format!("owner-{nth}"), seed * 100 + nth, history.clone(), is_broken)
     }));
     tokio::select! {
@@ -246,7 +246,7 @@
         let clients: Vec<Client> = (0..OWNERS).map(|nth| mem.client(seed * 10 + nth)).collect();
         let history = History::default();
         let operators = futures::future::join_all(clients.iter().zip(0..).map(|(client, nth)| {
-            let store = client.store.clone().with_budget(2_000).with_seed(seed * 10 + nth);
+            let store = client.store.clone().with_rate_limit(2_000).with_seed(seed * 10 + nth);
             let config = ConfigStore::new(store);
             operate(config, format!("operator-{nth}"), seed * 100 + nth, history.clone())
         }));
--- a/crates/agatesill_coord/tests/membership.rs
+++ b/crates/agatesill_coord/tests/membership.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_pause_is_not_a_death() {
     let (mut membership, start) = steady();
-    membership.leased(names(&["a", "b"]), start);
+    membership.update_leases(names(&["a", "b"]), start);
     let later = start + 2 * SUSPECT;
     assert_eq!(membership.judge("b", later), PeerState::Suspected);
     assert_eq!(membership.candidates(later), ["b"]);
@@ -46,11 +46,11 @@
 fn a_one_way_link_is_not_a_death() {
     let (mut membership, start) = steady();
     let later = start + 2 * SUSPECT;
-    membership.leased(names(&["a"]), later);
+    membership.update_leases(names(&["a"]), later);
     membership.heard_by("c", names(&["b"]), later);
     assert_eq!(membership.judge("b", later), PeerState::Suspected);
     let much_later = later + 2 * SUSPECT;
-    membership.leased(names(&["a"]), much_later);
+    membership.update_leases(names(&["a"]), much_later);
     assert_eq!(membership.judge("b", much_later), PeerState::Dead);
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn an_outage_of_the_store_is_not_evidence() {
     let (mut membership, start) = steady();
-    membership.leased(names(&["a"]), start);
+    membership.update_leases(names(&["a"]), start);
     assert_eq!(membership.judge("b", start + Duration::from_secs(60)), PeerState::Suspected);
 }
 
@@ -70,9 +70,9 @@
     let list = |words: &[(&str, &str)]| -> BTreeMap<String, String> {
         words.iter().map(|(name, word)| ((*name).to_owned(), (*word).to_owned())).collect()
     };
-    membership.listed(list(&[("a", "live"), ("b", "leaving")]), start);
+    membership.update_platform_list(list(&[("a", "live"), ("b", "leaving")]), start);
     assert_eq!(membership.judge("b", start), PeerState::Leaving);
     let later = start + 2 * SUSPECT;
-    membership.listed(list(&[("a", "live")]), later);
+    membership.update_platform_list(list(&[("a", "live")]), later);
     assert_eq!(membership.judge("b", later), PeerState::Dead);
 }
--- a/crates/agatesill_coord/tests/peer_calls.rs
+++ b/crates/agatesill_coord/tests/peer_calls.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use agatesill_coord::peer_calls::{answer_calls, fetch_config};
+use agatesill_coord::peer_calls::{fetch_config, serve_peer_calls};
 use agatesill_wire::peer::{Body, ConfigPush, Frame, FrameCodec, Hello, PROTOCOL_VERSION};
 use agatesill_wire::prelude::*;
 use futures::StreamExt;
@@ -37,7 +37,7 @@
                 assert!(hello.for_calls);
                 link.codec_mut().trust();
                 let push = ConfigPush { version: 7, json: "x".repeat(100_000) };
-                answer_calls(link, move |have| (have < 7).then(|| push.clone())).await;
+                serve_peer_calls(link, move |have| (have < 7).then(|| push.clone())).await;
             });
         }
     });
--- a/crates/agatesill_coord/tests/store_client.rs
+++ b/crates/agatesill_coord/tests/store_client.rs
@@ -21,7 +21,7 @@
 async fn outage_ends_without_a_storm() {
     let mem = MemStore::default();
     let client = mem.client(1);
-    let store = client.store.clone().with_budget(50);
+    let store = client.store.clone().with_rate_limit(50);
     client.set(Faults { outage: true, delay_ms: 5, ..Faults::default() });
     for _ in 0..40 {
         let store = store.clone();
@@ -56,7 +56,7 @@
     let asked = Instant::now();
     assert!(store.get("config/head").await.is_ok());
     assert!(asked.elapsed() < Duration::from_millis(60), "{:?}", asked.elapsed());
-    assert!(!store.is_lost());
+    assert!(!store.is_unavailable());
 }
 
 /// A burst of reads uses the budget up just when a lease has to be renewed. Were the renewal to
@@ -64,7 +64,7 @@
 #[tokio::test(start_paused = true)]
 async fn renewal_goes_before_a_burst_of_reads() {
     let client = MemStore::default().client(1);
-    let store = client.store.clone().with_budget(10);
+    let store = client.store.clone().with_rate_limit(10);
     let lease_id = store.call(StoreCall::Grant { ttl_ms: 5_000 }).await.unwrap().lease_id;
     for _ in 0..100 {
         let store = store.clone();
@@ -112,7 +112,7 @@
 /// Guards against a watch whose answers hold only a part of the changes and are all taken for stale.
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_lags_behind_other_calls_is_answered() {
-    let store = Store::over(Arc::new(|call, _| {
+    let store = Store::with_transport(Arc::new(|call, _| {
         Box::pin(async move {
             let revision = match call {
                 StoreCall::Watch { after_revision, .. } => after_revision + 10,
--- a/crates/agatesill_coord/tests/support/mod.rs
+++ b/crates/agatesill_coord/tests/support/mod.rs
@@ -71,7 +71,7 @@
         let faults: Arc<Mutex<Faults>> = Arc::default();
         let rng = Arc::new(Mutex::new(Pcg64Mcg::seed_from_u64(seed)));
         let (mem, shared) = (self.clone(), faults.clone());
-        let store = Store::over(Arc::new(move |call, limit| {
+        let store = Store::with_transport(Arc::new(move |call, limit| {
             let (mem, rng, faults) = (mem.clone(), rng.clone(), shared.lock().unwrap().clone());
             Box::pin(async move { mem.exchange(call, limit, &faults, &rng).await })
         }));
--- a/crates/agatesilld/src/admin.rs
+++ b/crates/agatesilld/src/admin.rs
@@ -59,7 +59,8 @@
         Self {
             instance: settings.instance.clone(),
             zone: settings.zone.clone(),
-            config: ConfigStore::new(store.clone()).with_floor(crate::config::floor(settings)),
+            config: ConfigStore::new(store.clone())
+                .with_declared_capacity(crate::config::floor(settings)),
             store,
             members: Arc::new(settings.peers.members.clone()),
             shared,
--- a/crates/agatesilld/src/cells/commit.rs
+++ b/crates/agatesilld/src/cells/commit.rs
@@ -68,7 +68,7 @@
         tokio::spawn(async move {
             let mut outcome = log.snapshot(&state).await;
             if outcome.is_ok()
-                && let Err(error) = log.sweep_chunks().await
+                && let Err(error) = log.delete_stale_chunks().await
                 && error.kind == ErrorKind::Conflict
             {
                 outcome = Err(error);
@@ -104,7 +104,7 @@
         deltas.extend(plan.deltas);
     }
     deltas.extend(forgettable(&owned.cell).into_iter().map(|job| CellDelta::Forget { job }));
-    let fitting = CommitLog::fitting(&deltas).unwrap_or(0);
+    let fitting = CommitLog::count_fitting(&deltas).unwrap_or(0);
     deltas.truncate(fitting);
     let taken = owned.pending.len().min(fitting);
     owned.pending.drain(..taken);
--- a/crates/agatesilld/src/cells/owner.rs
+++ b/crates/agatesilld/src/cells/owner.rs
@@ -6,7 +6,7 @@
 use agatesill_coord::commit_log::Replay;
 use agatesill_coord::lease::{OWNER_PREFIX, Owner};
 use agatesill_coord::prelude::*;
-use agatesill_coord::spread::{Candidate, spread};
+use agatesill_coord::range_assignment::{Candidate, assign_ranges};
 use agatesill_policy::prelude::*;
 use agatesill_wire::prelude::*;
 use tokio::sync::mpsc;
@@ -170,7 +170,7 @@
         let candidates: Vec<Candidate> =
             live.into_iter().map(|instance| Candidate { instance, capacity: CAPACITY }).collect();
         let ranges: Vec<&str> = self.settings.cells.iter().map(String::as_str).collect();
-        spread(&ranges, &candidates)
+        assign_ranges(&ranges, &candidates)
             .into_iter()
             .filter(|(_, instance)| *instance == self.settings.instance)
             .map(|(name, _)| name)
--- a/crates/agatesilld/src/config.rs
+++ b/crates/agatesilld/src/config.rs
@@ -17,7 +17,7 @@
 
 /// Follows the store until `stop` is cancelled.
 pub async fn follow(store: Store, shared: Shared, stop: CancellationToken) {
-    store::follow(store, CONFIG_KEY, stop, |entries| {
+    store::watch_prefix(store, CONFIG_KEY, stop, |entries| {
         if let Some(entry) = entries.iter().find(|entry| entry.key == CONFIG_KEY) {
             read(&shared, entry);
         }
@@ -49,14 +49,14 @@
 }
 
 /// What the floor holds by this daemon's settings.
-pub fn floor(settings: &Settings) -> Floor {
+pub fn floor(settings: &Settings) -> DeclaredCapacity {
     let workers = settings.cells.values().flat_map(|cell| &cell.workers);
     let pool_slots = settings.pools.iter().map(|(pool, upstreams)| {
         (pool.clone(), upstreams.iter().map(|upstream| u64::from(upstream.slots)).sum())
     });
-    Floor {
+    DeclaredCapacity {
         cpu_milli: workers.map(|worker| worker.capacity.cpu_milli).sum(),
         pool_slots: pool_slots.collect(),
-        refuse: settings.admin.refuse_beyond_floor,
+        reject_overcommit: settings.admin.refuse_beyond_floor,
     }
 }
--- a/crates/agatesilld/src/daemon.rs
+++ b/crates/agatesilld/src/daemon.rs
@@ -51,7 +51,7 @@
     let metrics = Metrics::new()
         .map_err(|error| Error::new(ErrorKind::Settings, format!("metrics: {error}")))?;
     let decider = Decider::start(settings, &shared)?;
-    let store = Store::over_http(settings.store.addr).with_budget(settings.store.calls_per_s);
+    let store = Store::over_http(settings.store.addr).with_rate_limit(settings.store.calls_per_s);
     metrics.observe(&shared, &decider, &store);
     let (calls, cell_calls) = mpsc::channel(CELL_RING_CALLS);
     let halt = CancellationToken::new();
--- a/crates/agatesilld/src/degraded.rs
+++ b/crates/agatesilld/src/degraded.rs
@@ -19,7 +19,7 @@
     if shared.served_version() == 0 {
         lines.push("no configuration is in force yet: every request is refused".to_owned());
     }
-    let failed_calls = store.failed_in_a_row();
+    let failed_calls = store.consecutive_failures();
     if failed_calls > 0 {
         lines.push(format!(
             "the store has not answered the last {failed_calls} calls: nothing new is placed or \
--- a/crates/agatesilld/src/fleet/front.rs
+++ b/crates/agatesilld/src/fleet/front.rs
@@ -145,7 +145,7 @@
 
 /// When to come back while the store is away.
 fn store_comeback_ms(site: &Site) -> u32 {
-    comeback_ms(site.store.away().as_millis() as u64)
+    comeback_ms(site.store.unavailable_for().as_millis() as u64)
 }
 
 fn unavailable(what: &str, retry_after_ms: u32) -> Error {
@@ -159,7 +159,7 @@
     let counter = if is_unknown { &site.counts.unknown } else { &site.counts.refused };
     counter.fetch_add(1, Ordering::Relaxed);
     log::warn!(event = "refused", request = id, kind = row.name, status = row.status,
-        store_failures = site.store.failed_in_a_row(); "{}", error.detail);
+        store_failures = site.store.consecutive_failures(); "{}", error.detail);
     let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut answer = plain(status, Bytes::new());
     if error.retry_after_ms > 0 {
--- a/crates/agatesilld/src/fleet/link.rs
+++ b/crates/agatesilld/src/fleet/link.rs
@@ -268,7 +268,7 @@
         }
         Some(FleetQuestion::HowIsTheStore(sees_store)) => {
             answer.is_known = true;
-            answer.is_store_lost = site.store.is_lost();
+            answer.is_store_lost = site.store.is_unavailable();
             answer.has_no_planner = !site.is_planning();
             // Guards against a needless change of planner at the end of an outage: the daemon that asks
             // sees the store again, while calls here pause for up to a second, and would take the range
--- a/crates/agatesilld/src/fleet/mod.rs
+++ b/crates/agatesilld/src/fleet/mod.rs
@@ -86,7 +86,7 @@
     let peers = bind(settings.peer_addr).await?;
     let figures = bind(SocketAddr::new(settings.entry_addr.ip(), metrics_port)).await?;
     let budget = (settings.store_writes_per_s as f64 * STORE_CALLS_FOR_WRITE).max(LEAST_BUDGET);
-    let store = store::store(settings.store_addr).with_budget(budget as u32);
+    let store = store::store(settings.store_addr).with_rate_limit(budget as u32);
     let instruments = FleetMetrics::new()
         .map_err(|error| Error::new(ErrorKind::Settings, format!("metrics: {error}")))?;
     let site = Arc::new(Site::new(settings, store, instruments));
--- a/crates/agatesilld/src/fleet/ownership.rs
+++ b/crates/agatesilld/src/fleet/ownership.rs
@@ -124,7 +124,7 @@
     let mut doubts = 0;
     loop {
         tokio::time::sleep(CHECKING).await;
-        let sees_store = u32::from(!site.store.is_lost());
+        let sees_store = u32::from(!site.store.is_unavailable());
         let question = FleetQuestion::HowIsTheStore(sees_store);
         let why = match site.link.ask_telling(addr, question).await {
             Asked::Refused => "its process is gone",
@@ -135,7 +135,7 @@
             }
         };
         doubts += 1;
-        if doubts >= DOUBTS && !site.store.is_lost() {
+        if doubts >= DOUBTS && !site.store.is_unavailable() {
             return why;
         }
     }
--- a/crates/agatesilld/src/fleet/stored.rs
+++ b/crates/agatesilld/src/fleet/stored.rs
@@ -47,7 +47,7 @@
 async fn through_planner(site: &Site, id: &str, question: FleetQuestion) -> Option<FleetWrite> {
     site.planner_addr()?;
     log::info!(event = "write_forwarded", job = id,
-        store_failures = site.store.failed_in_a_row(); "the store turns this daemon away");
+        store_failures = site.store.consecutive_failures(); "the store turns this daemon away");
     match ask_planner(site, question).await {
         Some(answer) => Some(answer.write()),
         None => Some(FleetWrite::Unknown),
@@ -64,7 +64,7 @@
 
 /// Stores a cancel of a job that is stored.
 pub async fn store_cancel_here(site: &Site, id: &str) -> FleetWrite {
-    if site.store.is_lost() {
+    if site.store.is_unavailable() {
         return FleetWrite::NotStored;
     }
     match site.store.get(&keys::job(id)).await {
@@ -78,12 +78,12 @@
 }
 
 async fn create(site: &Site, key: String, value: String) -> FleetWrite {
-    if site.store.is_lost() {
+    if site.store.is_unavailable() {
         return FleetWrite::NotStored;
     }
     let create =
         StoreCall::Cas { key: key.clone(), expect_version: 0, value: Some(value), lease_id: 0 };
-    let answer = tokio::time::timeout(WRITE_LIMIT, site.store.call_telling(create)).await;
+    let answer = tokio::time::timeout(WRITE_LIMIT, site.store.call_reporting_outcome(create)).await;
     let answer = answer.unwrap_or_else(|_| {
         Err(Error::new(ErrorKind::OutcomeUnknown, "the store did not answer in time"))
     });
@@ -162,7 +162,7 @@
 }
 
 async fn read_state(site: &Site, id: &str) -> Result<Option<State>, Error> {
-    if site.store.is_lost() {
+    if site.store.is_unavailable() {
         return Err(Error::new(ErrorKind::StoreUnavailable, "it fails").retry_after(1_000));
     }
     if let Some(entry) = site.store.get(&keys::progress(id)).await? {
--- a/crates/agatesilld/src/peers.rs
+++ b/crates/agatesilld/src/peers.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use agatesill_coord::lease::{MEMBER_RANGE, OWNER_PREFIX};
+use agatesill_coord::lease::{MEMBER_RANGE_PREFIX, OWNER_PREFIX};
 use agatesill_coord::membership::{Membership, PLATFORM_PREFIX, Peer};
-use agatesill_coord::peer_calls::{Link, answer_calls, fetch_config};
+use agatesill_coord::peer_calls::{PeerConnection, fetch_config, serve_peer_calls};
 use agatesill_coord::prelude::*;
 use agatesill_coord::store;
 use agatesill_wire::api::VersionedConfig;
@@ -133,19 +133,19 @@
     }
 
     async fn follow_leases(self, stop: CancellationToken) {
-        let prefix = format!("{OWNER_PREFIX}{MEMBER_RANGE}");
-        store::follow(self.store.clone(), &prefix, stop, |entries| {
+        let prefix = format!("{OWNER_PREFIX}{MEMBER_RANGE_PREFIX}");
+        store::watch_prefix(self.store.clone(), &prefix, stop, |entries| {
             let instances = names_under(&prefix, &entries).collect();
-            self.membership().leased(instances, Instant::now());
+            self.membership().update_leases(instances, Instant::now());
         })
         .await;
     }
 
     async fn follow_platform(self, stop: CancellationToken) {
-        store::follow(self.store.clone(), PLATFORM_PREFIX, stop, |entries| {
+        store::watch_prefix(self.store.clone(), PLATFORM_PREFIX, stop, |entries| {
             let words = entries.iter().map(|entry| entry.value.clone());
             let names = names_under(PLATFORM_PREFIX, &entries);
-            self.membership().listed(names.zip(words).collect(), Instant::now());
+            self.membership().update_platform_list(names.zip(words).collect(), Instant::now());
         })
         .await;
     }
@@ -171,7 +171,7 @@
     async fn talk(
         &self,
         name: &str,
-        mut link: Link,
+        mut link: PeerConnection,
         stop: &CancellationToken,
     ) -> Result<(), Error> {
         send(&mut link, Body::Hello(self.hello())).await?;
@@ -249,7 +249,7 @@
 
     /// Sends what is in force, with its last history entry only: peers need no more, and the whole
     /// history is some ten times the document.
-    async fn push_config(&self, link: &mut Link) -> Result<(), Error> {
+    async fn push_config(&self, link: &mut PeerConnection) -> Result<(), Error> {
         let Some(push) = self.newer_than(0) else { return Ok(()) };
         send(link, Body::Config(push)).await
     }
@@ -289,7 +289,7 @@
         let heard = {
             let membership = self.membership();
             *self.shared.peers() = membership.live(now).map(|(name, _)| name.to_owned()).collect();
-            membership.heard_lately(now)
+            membership.recent_peers(now)
         };
         Heartbeat {
             sequence,
@@ -322,7 +322,7 @@
             let peers = self.clone();
             tokio::select! {
                 () = stop.cancelled() => {}
-                () = answer_calls(link, move |have_version| peers.newer_than(have_version)) => {}
+                () = serve_peer_calls(link, move |have_version| peers.newer_than(have_version)) => {}
             }
             return;
         }
@@ -432,7 +432,7 @@
     }
 }
 
-async fn send(link: &mut Link, body: Body) -> Result<(), Error> {
+async fn send(link: &mut PeerConnection, body: Body) -> Result<(), Error> {
     let sent = tokio::time::timeout(SEND_LIMIT, link.send(Frame { body: Some(body) })).await;
     sent.unwrap_or_else(|_| Err(Error::new(ErrorKind::Unreachable, "peer takes no frames")))
 }
--- a/crates/agatesilld/src/settings/mod.rs
+++ b/crates/agatesilld/src/settings/mod.rs
@@ -306,7 +306,7 @@
 }
 
 fn default_calls_per_s() -> u32 {
-    agatesill_coord::store::CALLS_PER_S
+    agatesill_coord::store::DEFAULT_CALLS_PER_S
 }
 
 fn default_commit_ms() -> u64 {
