--- a/crates/agatesill_coord/src/config/change.rs
+++ b/crates/agatesill_coord/src/config/change.rs
@@ -7,7 +7,7 @@
 use agatesill_wire::prelude::*;
 use serde::Serialize;
 
-use super::floor::DeclaredCapacity;
+use super::capacity::DeclaredCapacity;
 
 /// Applies `change` to `current`, checks the outcome and adds it to the history.
 pub fn next_version(
--- a/crates/agatesill_coord/src/config/mod.rs
+++ b/crates/agatesill_coord/src/config/mod.rs
@@ -10,8 +10,8 @@
 //! that no sending was made.
 
 pub mod archive;
+pub mod capacity;
 pub mod change;
-pub mod floor;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,8 +23,8 @@
 
 use self::archive::Archive;
 pub use self::archive::HISTORY_KEPT;
+pub use self::capacity::DeclaredCapacity;
 pub use self::change::next_version;
-pub use self::floor::DeclaredCapacity;
 use crate::store::Store;
 
 /// Prefix of all keys of the configuration.
--- a/crates/agatesill_coord/src/store/mod.rs
+++ b/crates/agatesill_coord/src/store/mod.rs
@@ -5,8 +5,8 @@
 //! queue in which leases and ledger records go first, a jittered pause while calls fail, counters,
 //! and a check against stale reads: the service's revision never falls for one client.
 
-mod follow;
-mod gate;
+mod call_limiter;
+mod watch;
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub use self::follow::{WATCH_MS, watch_prefix};
-use self::gate::{Class, Gate};
+use self::call_limiter::{Class, Gate};
+pub use self::watch::{WATCH_MS, watch_prefix};
 
 /// Answers of the service that take longer than this count as an outage.
 pub const CALL_LIMIT: Duration = Duration::from_millis(1_500);
