--- a/crates/agatesill_coord/examples/counter.rs
+++ b/crates/agatesill_coord/examples/counter.rs
@@ -1,7 +1,7 @@
-//! A counter that outlives its owner: claim a range, commit deltas, take over, be fenced.
+//! A counter that survives its owner: claim a range, commit deltas, take over, fence the old owner.
 //!
 //! Run it with `cargo run -p agatesill_coord --example counter`. It needs no service: the transport
-//! below keeps everything in memory, and is all that another key-value service would have to be.
+//! below keeps all keys in memory. Another key-value service only has to provide such a transport.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,12 +21,12 @@
 }
 
 impl Memory {
-    fn answer(&mut self, call: StoreCall) -> StoreReply {
+    fn apply(&mut self, call: StoreCall) -> StoreReply {
         let mut reply = StoreReply { applied: true, ..StoreReply::default() };
         match call {
             StoreCall::Range { prefix } => {
-                let under = self.entries.values().filter(|entry| entry.key.starts_with(&prefix));
-                reply.entries = under.cloned().collect();
+                let matching = self.entries.values().filter(|entry| entry.key.starts_with(&prefix));
+                reply.entries = matching.cloned().collect();
             }
             StoreCall::Cas { key, expect_version, value, .. } => {
                 let found = self.entries.get(&key);
@@ -46,7 +46,7 @@
                 self.revision += 1;
                 reply.lease_id = self.revision;
             }
-            // Leases never end here; the real service ends them and deletes their keys.
+            // Leases never end here. The real service ends leases and deletes their keys.
             StoreCall::Renew { lease_id } | StoreCall::Revoke { lease_id } => {
                 reply.lease_id = lease_id;
             }
@@ -61,14 +61,14 @@
 
 fn store(memory: &Arc<Mutex<Memory>>) -> Store {
     let memory = memory.clone();
-    Store::with_transport(Arc::new(move |call, _limit| {
-        let reply = memory.lock().unwrap_or_else(PoisonError::into_inner).answer(call);
+    Store::with_transport(Arc::new(move |call, _timeout| {
+        let reply = memory.lock().unwrap_or_else(PoisonError::into_inner).apply(call);
         Box::pin(async move { Ok(reply) })
     }))
 }
 
-/// Takes the counter over and returns its log with the total so far.
-async fn take(store: &Store, instance: &str) -> Result<(CommitLog, i64), Error> {
+/// Takes over the counter and returns its log with the total so far.
+async fn take_over(store: &Store, instance: &str) -> Result<(CommitLog, i64), Error> {
     let taken = CommitLog::take_over::<i64, i64>(store.clone(), "counter/a", instance).await?;
     let (log, replay) = taken;
     let total = replay.snapshot.unwrap_or(0) + replay.deltas.iter().sum::<i64>();
@@ -80,27 +80,27 @@
 async fn main() -> Result<(), Error> {
     let memory = Arc::default();
     let (first, second) = (store(&memory), store(&memory));
-    let mut ownership = Ownership::new(first.clone(), "first", TTL);
-    ownership.renew().await?;
-    println!("first claims the counter: {}", ownership.claim("counter/a").await?);
-    let mut rival = Ownership::new(second.clone(), "second", TTL);
-    rival.renew().await?;
-    println!("second claims it as well: {}", rival.claim("counter/a").await?);
+    let mut first_ownership = Ownership::new(first.clone(), "first", TTL);
+    first_ownership.renew().await?;
+    println!("first claims the counter: {}", first_ownership.claim("counter/a").await?);
+    let mut second_ownership = Ownership::new(second.clone(), "second", TTL);
+    second_ownership.renew().await?;
+    println!("second claims it as well: {}", second_ownership.claim("counter/a").await?);
 
-    let (mut log, mut total) = take(&first, "first").await?;
+    let (mut log, mut total) = take_over(&first, "first").await?;
     for delta in [5, 7, -2] {
         log.append(&[delta]).await?;
         total += delta;
     }
     log.snapshot(&total).await?;
 
-    ownership.give_up("counter/a").await?;
-    println!("second claims it again: {}", rival.claim("counter/a").await?);
-    take(&second, "second").await?;
-    // The first owner has not noticed; the store does.
+    first_ownership.give_up("counter/a").await?;
+    println!("second claims it again: {}", second_ownership.claim("counter/a").await?);
+    take_over(&second, "second").await?;
+    // The first owner does not know about the takeover; the store rejects its write.
     match log.append(&[100_i64]).await {
         Ok(()) => println!("first wrote after the takeover"),
-        Err(error) => println!("first is refused: {error}"),
+        Err(error) => println!("the write of first was rejected: {error}"),
     }
     Ok(())
 }
--- a/crates/agatesill_coord/src/commit_log/mod.rs
+++ b/crates/agatesill_coord/src/commit_log/mod.rs
@@ -1,14 +1,15 @@
 //! A log of deltas with snapshots, written by one owner at a time and fenced by epochs.
 //!
-//! Records stand in a ring of keys `PREFIX/log/SLOT`; record number `seq` goes to slot
-//! `seq % SLOTS` by compare-and-swap on the version that the slot had one lap earlier. A successor
-//! appends a takeover record with a higher epoch before it acts. A stale owner's next write then
-//! meets a slot of another version and fails, however long it was paused: versions never come
-//! back and slots are never deleted, so "absent" cannot come back either.
+//! Records are stored in a ring of keys `PREFIX/log/SLOT`. Record `seq` is written to slot `seq %
+//! SLOTS` by compare-and-swap on the version that the slot had one lap earlier. A successor appends
+//! a takeover record with a higher epoch before it acts. The next write of a stale owner then finds
+//! a slot with another version and fails, however long that owner was paused: versions are never
+//! reused, and slots are never deleted, so that "absent" does not recur either.
 //!
-//! A write whose answer was lost leaves the log *pending*: whether the record stands is not known.
-//! Nothing may follow from it and nothing may be appended until [`CommitLog::resolve`] has written
-//! the same record again, with the same operation id, and learned its fate.
+//! A write whose answer was lost leaves the log *pending*: it is unknown whether the record is
+//! stored. The owner must not act on the record and cannot append another one until
+//! [`CommitLog::resolve`] has written the same record again, with the same operation id, and
+//! learned the outcome.
 //!
 //! ```no_run
 //! # use agatesill_coord::prelude::*;
@@ -39,56 +40,57 @@
 
 use self::load::load;
 use self::pack::pack;
-pub use self::record::{Chunk, Record, SnapshotHead};
-use self::record::{Put, encode, put};
-use self::snapshot::PendingHead;
-pub use self::snapshot::{CHUNK_BYTES, INLINE_BYTES};
+use self::record::{CasOutcome, encode, idempotent_cas};
+pub use self::record::{Chunk, Record, SnapshotManifest};
+use self::snapshot::PendingManifest;
+pub use self::snapshot::{MAX_CHUNK_BYTES, MAX_INLINE_BYTES};
 use crate::store::Store;
 
-/// Slots of the ring; a snapshot must cover a record before its slot is used again.
+/// Number of slots in the ring. A snapshot must cover a record before its slot is reused.
 pub const SLOTS: u64 = 128;
 
-/// Records after which a snapshot is due in any case; three quarters of the ring, so that a slow
-/// snapshot stops nothing.
-pub const SNAPSHOT_EVERY: u64 = 96;
+/// Maximum number of records between snapshots. It is three quarters of the ring, so that appends
+/// continue during a slow snapshot.
+pub const MAX_RECORDS_PER_SNAPSHOT: u64 = 96;
 
-/// Bytes of records below which no snapshot is due, however short the last one was: a replay of
-/// this length costs a successor a few milliseconds.
-const LEAST_LOG_BYTES: usize = 32 << 10;
+/// Minimum size of the records since the last snapshot before a snapshot is due, however short the
+/// last one was. A successor replays this much in a few milliseconds.
+const MIN_SNAPSHOT_LOG_BYTES: usize = 32 << 10;
 
-/// Slots read by one call.
+/// Slots read with one call.
 const SLOTS_PER_READ: u64 = 10;
 
-/// Longest record as stored; ten of them must stay below the body limit of 2 MB in one answer.
-pub const RECORD_BYTES: usize = 96 << 10;
+/// Maximum size of a stored record. Ten of them must fit into one answer, which is limited to 2 MB.
+pub const MAX_RECORD_BYTES: usize = 96 << 10;
 
-/// Room in a record for all but its deltas.
-const ENVELOPE_BYTES: usize = 1 << 10;
+/// Maximum size of a stored record without its deltas.
+const RECORD_OVERHEAD_BYTES: usize = 1 << 10;
 
-/// Times that a takeover is tried again when the present owner is still writing.
-const TAKE_OVER_TRIES: usize = 8;
+/// Maximum number of takeover attempts while the current owner keeps writing.
+const MAX_TAKEOVER_ATTEMPTS: usize = 8;
 
-/// What a takeover read.
+/// State that a takeover read from the log.
 #[derive(Debug)]
 pub struct Replay<S, D> {
     /// The newest snapshot, if there is one.
     pub snapshot: Option<S>,
-    /// Deltas after it, in order.
+    /// Deltas committed after the snapshot, in order.
     pub deltas: Vec<D>,
 }
 
+/// The last record while its outcome is unknown.
 #[derive(Debug)]
 struct Pending {
     seq: u64,
     value: String,
 }
 
-/// The owner's end of a log.
+/// A log as seen by its owner.
 #[derive(Debug)]
 pub struct CommitLog {
     store: Store,
     prefix: String,
-    /// Instance and a number drawn at random: a restarted instance is another writer.
+    /// Name of the instance and a random number, so that a restarted instance is another writer.
     writer: String,
     epoch: u64,
     first_seq: u64,
@@ -96,32 +98,33 @@
     slot_versions: Vec<u64>,
     pending: Option<Pending>,
     snapshot_seq: u64,
-    /// Bytes of records since the last snapshot.
+    /// Size of the records since the last snapshot.
     log_bytes: usize,
-    /// Bytes of the last snapshot; 0 when this owner wrote none.
+    /// Size of the last snapshot; 0 when this owner has written none.
     snapshot_bytes: usize,
-    head_version: u64,
-    pending_head: Option<PendingHead>,
+    manifest_version: u64,
+    pending_manifest: Option<PendingManifest>,
     chunk_set: u64,
     chunk_versions: BTreeMap<String, u64>,
-    sweep_epochs: Vec<u64>,
+    stale_epochs: Vec<u64>,
     fenced: bool,
-    unsafe_without_fence: bool,
+    fencing_disabled: bool,
 }
 
 impl CommitLog {
-    /// Reads the log, appends a takeover record and returns the log with what it held.
+    /// Reads the log, appends a takeover record and returns the log with its contents.
     ///
-    /// [`ErrorKind::Protocol`] reports a torn, missing or foreign record; the log stays as it is.
+    /// [`ErrorKind::Protocol`] reports a record that is corrupted, missing or from another log; the
+    /// log is left unchanged.
     pub async fn take_over<S: DeserializeOwned, D: DeserializeOwned + Serialize>(
         store: Store,
         prefix: &str,
         instance: &str,
     ) -> Result<(Self, Replay<S, D>), Error> {
         let writer = format!("{instance}-{:016x}", rand::random::<u64>());
-        for _ in 0..TAKE_OVER_TRIES {
+        for _ in 0..MAX_TAKEOVER_ATTEMPTS {
             let (position, replay) = load::<S, D>(&store, prefix).await?;
-            let snapshot_epoch = position.head.as_ref().map_or(0, |head| head.epoch);
+            let snapshot_epoch = position.manifest.as_ref().map_or(0, |manifest| manifest.epoch);
             let mut log = Self {
                 store: store.clone(),
                 prefix: prefix.to_owned(),
@@ -134,13 +137,13 @@
                 snapshot_bytes: 0,
                 slot_versions: position.slot_versions,
                 pending: None,
-                head_version: position.head_version,
-                pending_head: None,
+                manifest_version: position.manifest_version,
+                pending_manifest: None,
                 chunk_set: 0,
                 chunk_versions: BTreeMap::new(),
-                sweep_epochs: (snapshot_epoch.max(1)..=position.epoch).collect(),
+                stale_epochs: (snapshot_epoch.max(1)..=position.epoch).collect(),
                 fenced: false,
-                unsafe_without_fence: false,
+                fencing_disabled: false,
             };
             match log.append::<D>(&[]).await {
                 Ok(()) => return Ok((log, replay)),
@@ -148,28 +151,28 @@
                 Err(error) => return Err(error),
             }
         }
-        let what = format!("{prefix}: the present owner keeps writing");
-        Err(Error::new(ErrorKind::Conflict, what).retry_after(500))
+        let detail = format!("{prefix}: the current owner keeps writing");
+        Err(Error::new(ErrorKind::Conflict, detail).retry_after(500))
     }
 
-    /// The owner's epoch.
+    /// Epoch of this owner.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Number of the newest record known to be committed.
+    /// Sequence number of the newest record known to be committed.
     pub fn last_seq(&self) -> u64 {
         self.next_seq - 1
     }
 
-    /// Whether a snapshot is due: when the records since the last one are as long as it was, so
-    /// that snapshots at most double the bytes written, or when the ring fills up.
+    /// Whether a snapshot is due: when the records since the last snapshot are as long as that
+    /// snapshot, so that snapshots at most double the bytes written, or when the ring fills up.
     pub fn snapshot_due(&self) -> bool {
-        self.last_seq() - self.snapshot_seq >= SNAPSHOT_EVERY
-            || self.log_bytes >= self.snapshot_bytes.max(LEAST_LOG_BYTES)
+        self.last_seq() - self.snapshot_seq >= MAX_RECORDS_PER_SNAPSHOT
+            || self.log_bytes >= self.snapshot_bytes.max(MIN_SNAPSHOT_LOG_BYTES)
     }
 
-    /// Whether it is not known yet if the last record stands; see [`CommitLog::resolve`].
+    /// Whether the outcome of the last write is still unknown; see [`CommitLog::resolve`].
     pub fn is_pending(&self) -> bool {
         self.pending.is_some()
     }
@@ -179,12 +182,12 @@
         self.fenced
     }
 
-    /// How many of the first `deltas` fit into one record.
+    /// Length of the longest prefix of `deltas` that fits into one record.
     pub fn count_fitting<D: Serialize>(deltas: &[D]) -> Result<usize, Error> {
-        let mut used_bytes = ENVELOPE_BYTES;
+        let mut used_bytes = RECORD_OVERHEAD_BYTES;
         for (count, delta) in deltas.iter().enumerate() {
             used_bytes += encode(&encode(delta)?)?.len();
-            if used_bytes > RECORD_BYTES {
+            if used_bytes > MAX_RECORD_BYTES {
                 return Ok(count);
             }
         }
@@ -193,63 +196,65 @@
 
     /// Appends one record with `deltas`; they are committed when this returns `Ok`.
     ///
-    /// - [`ErrorKind::Conflict`]: another owner has taken over; this one must stop acting. Whether
-    ///   the deltas stand is for the new owner to say.
-    /// - [`ErrorKind::StoreUnavailable`]: not known; keep the deltas and [`CommitLog::resolve`].
-    /// - [`ErrorKind::RingFull`]: a snapshot is due first; nothing was written.
-    /// - [`ErrorKind::TooLarge`]: see [`CommitLog::count_fitting`]; nothing was written.
+    /// - [`ErrorKind::Conflict`]: another owner has taken over; this one must stop acting. The new
+    ///   owner determines whether the deltas are committed.
+    /// - [`ErrorKind::StoreUnavailable`]: the outcome is unknown; keep the deltas and call
+    ///   [`CommitLog::resolve`].
+    /// - [`ErrorKind::RingFull`]: a snapshot has to be written first; no record was written.
+    /// - [`ErrorKind::TooLarge`]: see [`CommitLog::count_fitting`]; no record was written.
     pub async fn append<D: Serialize>(&mut self, deltas: &[D]) -> Result<(), Error> {
         self.check_owner()?;
-        self.check_settled()?;
-        // Guards against losing a record: its slot comes round again while no snapshot covers it,
-        // and a successor would find a hole.
+        self.check_not_pending()?;
+        // The slot still holds a record that no snapshot covers. Overwriting that record would
+        // leave a gap for a successor.
         if self.next_seq > self.snapshot_seq + SLOTS {
-            let what = format!("{}: record {} waits for a snapshot", self.prefix, self.next_seq);
-            return Err(Error::new(ErrorKind::RingFull, what).retry_after(100));
+            let detail =
+                format!("{}: record {} requires a snapshot first", self.prefix, self.next_seq);
+            return Err(Error::new(ErrorKind::RingFull, detail).retry_after(100));
         }
         let seq = self.next_seq;
         let operation_id = format!("{}-{seq}", self.writer);
         let payload = pack(deltas)?;
-        let value = encode(&Record::seal(&self.prefix, seq, self.epoch, operation_id, payload))?;
-        if value.len() > RECORD_BYTES {
-            let what = format!("{}: record of {} bytes", self.prefix, value.len());
-            return Err(Error::new(ErrorKind::TooLarge, what));
+        let value = encode(&Record::new(&self.prefix, seq, self.epoch, operation_id, payload))?;
+        if value.len() > MAX_RECORD_BYTES {
+            let detail = format!("{}: record of {} bytes", self.prefix, value.len());
+            return Err(Error::new(ErrorKind::TooLarge, detail));
         }
         self.pending = Some(Pending { seq, value });
         self.resolve().await
     }
 
-    /// Writes the pending record again until its fate is known; `Ok` means that it is committed.
-    /// Errors are those of [`CommitLog::append`].
+    /// Writes the pending record again, if there is one; `Ok` means that it is committed. Errors
+    /// are those of [`CommitLog::append`].
     pub async fn resolve(&mut self) -> Result<(), Error> {
         self.check_owner()?;
         let Some(pending) = &self.pending else { return Ok(()) };
         let slot = (pending.seq % SLOTS) as usize;
         let key = slot_key(&self.prefix, slot);
-        match put(&self.store, &key, self.slot_versions[slot], &pending.value).await? {
-            Put::Written(version) => {
+        match idempotent_cas(&self.store, &key, self.slot_versions[slot], &pending.value).await? {
+            CasOutcome::Written(version) => {
                 self.slot_versions[slot] = version;
                 self.next_seq = pending.seq + 1;
                 self.log_bytes += pending.value.len();
                 self.pending = None;
                 Ok(())
             }
-            Put::Found(Some(entry)) if self.unsafe_without_fence => {
+            CasOutcome::Conflict(Some(entry)) if self.fencing_disabled => {
                 self.slot_versions[slot] = entry.version;
-                Err(Error::new(ErrorKind::StoreUnavailable, "fence is off"))
+                Err(Error::new(ErrorKind::StoreUnavailable, "fencing is disabled"))
             }
-            Put::Found(_) => {
+            CasOutcome::Conflict(_) => {
                 self.fenced = true;
-                let what = format!("{}: another owner wrote record {}", self.prefix, pending.seq);
-                Err(Error::new(ErrorKind::Conflict, what))
+                let detail = format!("{}: another owner wrote record {}", self.prefix, pending.seq);
+                Err(Error::new(ErrorKind::Conflict, detail))
             }
         }
     }
 
-    /// Turns the fence off, so that tests can show that they would notice.
+    /// Disables fencing, so that tests can show that they detect a missing fence.
     #[doc(hidden)]
-    pub fn break_fence(&mut self) {
-        self.unsafe_without_fence = true;
+    pub fn disable_fencing(&mut self) {
+        self.fencing_disabled = true;
     }
 
     fn check_owner(&self) -> Result<(), Error> {
@@ -259,10 +264,10 @@
         Err(Error::new(ErrorKind::Conflict, format!("{}: another owner took over", self.prefix)))
     }
 
-    fn check_settled(&self) -> Result<(), Error> {
+    fn check_not_pending(&self) -> Result<(), Error> {
         let Some(pending) = &self.pending else { return Ok(()) };
-        let what = format!("{}: record {} is not resolved", self.prefix, pending.seq);
-        Err(Error::new(ErrorKind::StoreUnavailable, what).retry_after(100))
+        let detail = format!("{}: the outcome of record {} is unknown", self.prefix, pending.seq);
+        Err(Error::new(ErrorKind::StoreUnavailable, detail).retry_after(100))
     }
 }
 
@@ -270,7 +275,7 @@
     format!("{prefix}/log/{slot:04}")
 }
 
-fn head_key(prefix: &str) -> String {
+fn manifest_key(prefix: &str) -> String {
     format!("{prefix}/snapshot")
 }
 
--- a/crates/agatesill_coord/src/commit_log/pack.rs
+++ b/crates/agatesill_coord/src/commit_log/pack.rs
@@ -1,7 +1,7 @@
-//! Payloads as they stand in the store: JSON, deflated, in base64.
+//! Encoding of stored payloads: deflated JSON in base64.
 //!
-//! The store's bytes are the scarce ones. Deltas and ledgers repeat names and keys, and JSON within
-//! JSON escapes every quote; `agatesill-bench scale` measured 314 bytes for a start and its end as
+//! Bytes written to the store are the scarce resource. Deltas and ledgers repeat names and keys,
+//! and JSON nested in JSON escapes every quote: the start and the end of a task take 314 bytes as
 //! plain JSON.
 
 use std::io::{Read, Write};
@@ -15,32 +15,33 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest JSON that a payload may hold: ten times the longest ledger of the target size.
-pub const UNPACKED_BYTES: u64 = 64 << 20;
+/// Maximum size of the JSON in a payload: ten times the largest ledger at the target size.
+pub const MAX_UNPACKED_BYTES: u64 = 64 << 20;
 
-/// Packs a value.
+/// Encodes `value` as a payload.
 pub fn pack<T: Serialize + ?Sized>(value: &T) -> Result<String, Error> {
-    let wrong = |error: &dyn std::fmt::Display| Error::new(ErrorKind::Protocol, error.to_string());
-    let json = serde_json::to_vec(value).map_err(|error| wrong(&error))?;
+    let protocol_error =
+        |error: &dyn std::fmt::Display| Error::new(ErrorKind::Protocol, error.to_string());
+    let json = serde_json::to_vec(value).map_err(|error| protocol_error(&error))?;
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-    encoder.write_all(&json).map_err(|error| wrong(&error))?;
-    let deflated = encoder.finish().map_err(|error| wrong(&error))?;
+    encoder.write_all(&json).map_err(|error| protocol_error(&error))?;
+    let deflated = encoder.finish().map_err(|error| protocol_error(&error))?;
     Ok(STANDARD_NO_PAD.encode(deflated))
 }
 
-/// Unpacks a value; `key` names it in errors.
+/// Decodes a payload; errors name `key`.
 ///
-/// Guards against a damaged or hostile payload that inflates without end: what lies beyond the
-/// limit is never read, so the JSON ends short and is refused.
-pub fn unpack<T: DeserializeOwned>(key: &str, text: &str) -> Result<T, Error> {
-    let wrong = |error: &dyn std::fmt::Display| {
+/// A damaged or hostile payload could inflate without bound. Bytes beyond
+/// [`MAX_UNPACKED_BYTES`] are never read, so that the truncated JSON fails to parse.
+pub fn unpack<T: DeserializeOwned>(key: &str, payload: &str) -> Result<T, Error> {
+    let protocol_error = |error: &dyn std::fmt::Display| {
         Error::new(ErrorKind::Protocol, format!("{key}: payload: {error}"))
     };
-    let deflated = STANDARD_NO_PAD.decode(text).map_err(|error| wrong(&error))?;
+    let deflated = STANDARD_NO_PAD.decode(payload).map_err(|error| protocol_error(&error))?;
     let mut json = Vec::new();
     DeflateDecoder::new(deflated.as_slice())
-        .take(UNPACKED_BYTES)
+        .take(MAX_UNPACKED_BYTES)
         .read_to_end(&mut json)
-        .map_err(|error| wrong(&error))?;
-    serde_json::from_slice(&json).map_err(|error| wrong(&error))
+        .map_err(|error| protocol_error(&error))?;
+    serde_json::from_slice(&json).map_err(|error| protocol_error(&error))
 }
--- a/crates/agatesill_coord/src/config/capacity.rs
+++ b/crates/agatesill_coord/src/config/capacity.rs
@@ -1,23 +1,24 @@
-//! What the floor holds, against which promises are added up.
+//! The declared capacity of workers and upstreams, used to detect overcommitted configurations.
 
 use std::collections::BTreeMap;
 
 use agatesill_policy::prelude::*;
 
-/// What the floor holds, as the accepting daemon's settings say.
+/// Capacity according to the settings of the daemon that accepts a change.
 #[derive(Clone, Debug, Default)]
 pub struct DeclaredCapacity {
-    /// Processors of all workers, in thousandths; 0 means not known.
+    /// Processors of all workers, in thousandths; 0 if unknown.
     pub cpu_milli: u64,
-    /// Slots of the upstreams by pool; empty means not known.
+    /// Upstream slots by pool; empty if unknown.
     pub pool_slots: BTreeMap<String, u64>,
-    /// Whether a change that sells more than the floor holds is refused, not only warned of.
+    /// Whether a change that overcommits the capacity is rejected instead of accepted with a
+    /// warning.
     pub reject_overcommit: bool,
 }
 
 impl DeclaredCapacity {
-    /// What `doc` sells beyond the floor, one line each with the arithmetic.
-    pub fn beyond(&self, doc: &ConfigDoc) -> Vec<String> {
+    /// Describes each overcommitment in `doc` in one line, with its arithmetic.
+    pub fn overcommitments(&self, doc: &ConfigDoc) -> Vec<String> {
         let mut lines = Vec::new();
         let quotas: Vec<(&str, u64)> = doc
             .teams
@@ -25,15 +26,15 @@
             .filter(|(_, team)| team.quota_cpu_milli > 0)
             .map(|(name, team)| (name.as_str(), team.quota_cpu_milli))
             .collect();
-        let sold: u64 = quotas.iter().map(|(_, quota)| quota).sum();
-        if self.cpu_milli > 0 && sold > self.cpu_milli {
+        let total: u64 = quotas.iter().map(|(_, quota)| quota).sum();
+        if self.cpu_milli > 0 && total > self.cpu_milli {
             let terms: Vec<String> =
                 quotas.iter().map(|(name, quota)| format!("{name} {quota}")).collect();
             lines.push(format!(
-                "quotas in cpu_milli: {} = {sold}, the floor holds {}, {} too many",
+                "quotas in cpu_milli: {} = {total}, the workers have {}, {} too many",
                 terms.join(" + "),
                 self.cpu_milli,
-                sold - self.cpu_milli
+                total - self.cpu_milli
             ));
         }
         if !self.pool_slots.is_empty() {
--- a/crates/agatesill_coord/src/config/change.rs
+++ b/crates/agatesill_coord/src/config/change.rs
@@ -1,4 +1,4 @@
-//! What a change makes of a configuration, free of any store.
+//! Computes the next version of a configuration from a change, without access to the store.
 
 use std::collections::BTreeMap;
 
@@ -9,101 +9,101 @@
 
 use super::capacity::DeclaredCapacity;
 
-/// Applies `change` to `current`, checks the outcome and adds it to the history.
+/// Applies `change` to `current`, validates the result and appends a history entry.
 pub fn next_version(
     current: &VersionedConfig,
     change: &ConfigChange,
     at_ms: u64,
-    floor: &DeclaredCapacity,
+    capacity: &DeclaredCapacity,
 ) -> Result<VersionedConfig, Error> {
     if change.base_version != 0 && change.base_version != current.version {
-        return Err(lost_race(current, change.base_version));
+        return Err(version_conflict(current, change.base_version));
     }
     let mut next = current.clone();
     for (name, profile) in &change.profiles {
         if profile.is_none() {
-            refuse_in_use(current, change, name)?;
+            check_not_in_use(current, change, name)?;
         }
-        set(&mut next.doc.profiles, name, profile.as_ref());
+        set_or_remove(&mut next.doc.profiles, name, profile.as_ref());
     }
     for (name, service) in &change.services {
-        set(&mut next.doc.services, name, service.as_ref());
+        set_or_remove(&mut next.doc.services, name, service.as_ref());
     }
     for (name, team) in &change.teams {
-        set(&mut next.doc.teams, name, team.as_ref());
+        set_or_remove(&mut next.doc.teams, name, team.as_ref());
     }
     for (zone, evacuation) in &change.evacuations {
-        set(&mut next.doc.evacuations, zone, evacuation.as_ref());
+        set_or_remove(&mut next.doc.evacuations, zone, evacuation.as_ref());
     }
-    seal(current, next, change, at_ms, floor)
+    finalize(current, next, change, at_ms, capacity)
 }
 
-/// Restores the document of version `to`, as a new version. `older` holds the entries that stand
-/// no longer in the head, in order.
-pub fn rolled_back(
+/// Restores the document of version `to` as a new version. `archived` holds the history entries
+/// that were trimmed from the head, oldest first.
+pub fn rollback_version(
     current: &VersionedConfig,
-    older: &[HistoryEntry],
+    archived: &[HistoryEntry],
     to: u64,
     change: &ConfigChange,
     at_ms: u64,
-    floor: &DeclaredCapacity,
+    capacity: &DeclaredCapacity,
 ) -> Result<VersionedConfig, Error> {
     if change.base_version != 0 && change.base_version != current.version {
-        return Err(lost_race(current, change.base_version));
+        return Err(version_conflict(current, change.base_version));
     }
     let mut next = current.clone();
-    let mut at = current.version;
-    let first_kept = current.history.first().map_or(at + 1, |entry| entry.version);
-    let kept = current.history.iter().rev();
-    let older = older.iter().rev().filter(|entry| entry.version < first_kept);
-    for entry in kept.chain(older).take_while(|entry| entry.version > to) {
+    let mut reached = current.version;
+    let head_start = current.history.first().map_or(reached + 1, |entry| entry.version);
+    let in_head = current.history.iter().rev();
+    let archived = archived.iter().rev().filter(|entry| entry.version < head_start);
+    for entry in in_head.chain(archived).take_while(|entry| entry.version > to) {
         entry.undo.profiles.iter().for_each(|(name, old)| {
-            set(&mut next.doc.profiles, name, old.as_ref());
+            set_or_remove(&mut next.doc.profiles, name, old.as_ref());
         });
         entry.undo.services.iter().for_each(|(name, old)| {
-            set(&mut next.doc.services, name, old.as_ref());
+            set_or_remove(&mut next.doc.services, name, old.as_ref());
         });
         entry.undo.teams.iter().for_each(|(name, old)| {
-            set(&mut next.doc.teams, name, old.as_ref());
+            set_or_remove(&mut next.doc.teams, name, old.as_ref());
         });
         entry.undo.evacuations.iter().for_each(|(zone, old)| {
-            set(&mut next.doc.evacuations, zone, old.as_ref());
+            set_or_remove(&mut next.doc.evacuations, zone, old.as_ref());
         });
-        at = entry.version - 1;
+        reached = entry.version - 1;
     }
-    if at != to || to > current.version {
-        let what = format!("version {to}: the history reaches from {at} to {}", current.version);
-        return Err(Error::new(ErrorKind::NotFound, what));
+    if reached != to || to > current.version {
+        let detail = format!("version {to}: the history covers {reached} to {}", current.version);
+        return Err(Error::new(ErrorKind::NotFound, detail));
     }
-    seal(current, next, change, at_ms, floor)
+    finalize(current, next, change, at_ms, capacity)
 }
 
-/// Checks `next`, gives it its version and writes its history entry.
-fn seal(
+/// Validates `next`, assigns its version and appends its history entry.
+fn finalize(
     current: &VersionedConfig,
     mut next: VersionedConfig,
     change: &ConfigChange,
     at_ms: u64,
-    floor: &DeclaredCapacity,
+    capacity: &DeclaredCapacity,
 ) -> Result<VersionedConfig, Error> {
     next.doc.validate().map_err(|error| Error::new(ErrorKind::BadRequest, error.to_string()))?;
     let mut changes = Vec::new();
     let undo = Undo {
-        profiles: differences("profile", &current.doc.profiles, &next.doc.profiles, &mut changes),
-        services: differences("service", &current.doc.services, &next.doc.services, &mut changes),
-        teams: differences("team", &current.doc.teams, &next.doc.teams, &mut changes),
-        evacuations: differences(
+        profiles: diff_entries("profile", &current.doc.profiles, &next.doc.profiles, &mut changes),
+        services: diff_entries("service", &current.doc.services, &next.doc.services, &mut changes),
+        teams: diff_entries("team", &current.doc.teams, &next.doc.teams, &mut changes),
+        evacuations: diff_entries(
             "evacuation",
             &current.doc.evacuations,
             &next.doc.evacuations,
             &mut changes,
         ),
     };
-    let beyond = floor.beyond(&next.doc);
-    if floor.reject_overcommit && !beyond.is_empty() {
-        return Err(Error::new(ErrorKind::Impossible, beyond.join("; ")));
+    let overcommitments = capacity.overcommitments(&next.doc);
+    if capacity.reject_overcommit && !overcommitments.is_empty() {
+        return Err(Error::new(ErrorKind::Impossible, overcommitments.join("; ")));
     }
-    changes.extend(beyond.into_iter().map(|line| format!("warning: {line}")));
+    changes.extend(overcommitments.into_iter().map(|line| format!("warning: {line}")));
     next.version += 1;
     next.history.push(HistoryEntry {
         version: next.version,
@@ -117,16 +117,16 @@
     Ok(next)
 }
 
-fn set<T: Clone>(map: &mut BTreeMap<String, T>, name: &str, value: Option<&T>) {
+fn set_or_remove<T: Clone>(map: &mut BTreeMap<String, T>, name: &str, value: Option<&T>) {
     match value {
         Some(value) => map.insert(name.to_owned(), value.clone()),
         None => map.remove(name),
     };
 }
 
-/// Says what differs, one line a name, and returns what stood there before.
-fn differences<T: Clone + PartialEq + Serialize>(
-    what: &str,
+/// Appends one line per name that differs to `lines`, and returns the previous value of each.
+fn diff_entries<T: Clone + PartialEq + Serialize>(
+    kind: &str,
     old: &BTreeMap<String, T>,
     new: &BTreeMap<String, T>,
     lines: &mut Vec<String>,
@@ -138,10 +138,10 @@
         let line = match (before, after) {
             (Some(before), Some(after)) if before == after => continue,
             (Some(before), Some(after)) => {
-                format!("{what} {name} changed: {}", changed_fields(before, after))
+                format!("{kind} {name} changed: {}", changed_fields(before, after))
             }
-            (None, _) => format!("{what} {name} defined"),
-            (_, None) => format!("{what} {name} retired"),
+            (None, _) => format!("{kind} {name} defined"),
+            (_, None) => format!("{kind} {name} retired"),
         };
         lines.push(line);
         undo.insert(name.clone(), before.cloned());
@@ -164,7 +164,7 @@
     changed.join(", ")
 }
 
-fn refuse_in_use(
+fn check_not_in_use(
     current: &VersionedConfig,
     change: &ConfigChange,
     profile: &str,
@@ -187,10 +187,11 @@
     Err(Error::new(ErrorKind::InUse, in_use.to_string()))
 }
 
-fn lost_race(current: &VersionedConfig, base_version: u64) -> Error {
+fn version_conflict(current: &VersionedConfig, base_version: u64) -> Error {
     if base_version > current.version {
-        let what = format!("read version {}, asked for {base_version}", current.version);
-        return Error::new(ErrorKind::StoreUnavailable, what).retry_after(500);
+        let detail =
+            format!("read version {}, older than base version {base_version}", current.version);
+        return Error::new(ErrorKind::StoreUnavailable, detail).retry_after(500);
     }
     let since: Vec<String> = current
         .history
@@ -203,6 +204,9 @@
     let newest = current.version;
     Error::new(
         ErrorKind::Conflict,
-        format!("made against version {base_version}, newest is {newest}; {}", since.join(" | ")),
+        format!(
+            "based on version {base_version}, but the newest is {newest}; {}",
+            since.join(" | ")
+        ),
     )
 }
--- a/crates/agatesill_coord/src/config/mod.rs
+++ b/crates/agatesill_coord/src/config/mod.rs
@@ -1,13 +1,14 @@
 //! One versioned configuration document, changed by compare-and-swap.
 //!
-//! The document, its version and the last changes stand in one key, so that an accepted change and
-//! its history entry are one write. Older entries stand in segments beside it.
+//! The document, its version and the newest history entries share one key, the head, so that an
+//! accepted change and its history entry are a single write. Older entries are archived in segments
+//! under other keys.
 //!
-//! A change that was answered with [`ErrorKind::OutcomeUnknown`] may have been accepted; sent again
-//! with the same operation id it is never made twice. [`ErrorKind::StoreUnavailable`] means that
-//! this sending was not made and never will be; it says nothing of earlier sendings, so after an
-//! unknown outcome the change has to be sent until another answer comes. Every other error means
-//! that no sending was made.
+//! A change that fails with [`ErrorKind::OutcomeUnknown`] may have been accepted; sending it again
+//! with the same operation id never applies it twice. [`ErrorKind::StoreUnavailable`] means that
+//! this attempt was not applied and never will be. It says nothing about earlier attempts, so after
+//! an unknown outcome the change has to be sent again until another result is returned. Every other
+//! error means that no attempt was applied.
 
 pub mod archive;
 pub mod capacity;
@@ -22,33 +23,33 @@
 use tokio::sync::Mutex;
 
 use self::archive::Archive;
-pub use self::archive::HISTORY_KEPT;
+pub use self::archive::SEGMENT_ENTRIES;
 pub use self::capacity::DeclaredCapacity;
 pub use self::change::next_version;
 use crate::store::Store;
 
-/// Prefix of all keys of the configuration.
+/// Prefix of all configuration keys.
 pub const CONFIG_PREFIX: &str = "config/";
 
-/// The key that holds the configuration.
+/// Key of the head: the document, its version and the newest history entries.
 pub const CONFIG_KEY: &str = "config/head";
 
-/// How often a change is tried again when others win the race.
-const RACE_TRIES: u32 = 24;
+/// Maximum number of attempts to commit a change when concurrent changes win the compare-and-swap.
+const MAX_COMMIT_ATTEMPTS: u32 = 24;
 
-/// Longest jittered pause between two tries, for each try so far.
-const RACE_PAUSE_MS: u64 = 4;
+/// Maximum jittered back-off between two attempts, multiplied by the number of attempts so far.
+const COMMIT_BACKOFF_MS: u64 = 4;
 
-/// Reads and changes the configuration.
+/// Reads and changes the configuration. Clones share one cache of archived history.
 #[derive(Clone, Debug)]
 pub struct ConfigStore {
     store: Store,
-    floor: Arc<DeclaredCapacity>,
+    capacity: Arc<DeclaredCapacity>,
     archive: Arc<Mutex<Archive>>,
 }
 
 value_type! {
-    /// The head as read, with the version of its key.
+    /// The head, with the version of its key.
     struct Head {
         config: VersionedConfig,
         key_version: u64,
@@ -56,109 +57,117 @@
 }
 
 impl ConfigStore {
-    /// Uses `store`, with a floor of which nothing is known.
+    /// A configuration in `store`, without any declared capacity.
     pub fn new(store: Store) -> Self {
-        Self { store, floor: Arc::default(), archive: Arc::default() }
+        Self { store, capacity: Arc::default(), archive: Arc::default() }
     }
 
-    /// The same with promises added up against `floor`.
-    pub fn with_declared_capacity(self, floor: DeclaredCapacity) -> Self {
-        Self { floor: Arc::new(floor), ..self }
+    /// Compares quotas and pools of each change with `capacity`.
+    pub fn with_declared_capacity(self, capacity: DeclaredCapacity) -> Self {
+        Self { capacity: Arc::new(capacity), ..self }
     }
 
-    /// Reads the newest configuration; version 0 when there is none yet.
+    /// Reads the newest configuration; its version is 0 when none was written yet.
     pub async fn read(&self) -> Result<VersionedConfig, Error> {
         Ok(self.head().await?.config)
     }
 
-    /// Makes a change; returns the newest configuration, in which it is.
+    /// Commits a change; returns the newest configuration, which includes it.
     pub async fn change(
         &self,
         change: &ConfigChange,
         at_ms: u64,
     ) -> Result<VersionedConfig, Error> {
         self.commit(&change.operation_id, |current| {
-            next_version(current, change, at_ms, &self.floor)
+            next_version(current, change, at_ms, &self.capacity)
         })
         .await
     }
 
-    /// Restores the document of version `to` as a new version; of `change` only the operation id,
-    /// the base version, the author and the reason count.
+    /// Restores the document of version `to` as a new version. Only the operation id, the base
+    /// version, the author and the reason of `change` are used.
     pub async fn rollback(
         &self,
         to: u64,
         change: &ConfigChange,
         at_ms: u64,
     ) -> Result<VersionedConfig, Error> {
-        let older = self.history_before(&self.head().await?.config).await?;
+        let archived = self.archived_history(&self.head().await?.config).await?;
         self.commit(&change.operation_id, |current| {
-            change::rolled_back(current, &older, to, change, at_ms, &self.floor)
+            change::rollback_version(current, &archived, to, change, at_ms, &self.capacity)
         })
         .await
     }
 
-    /// All entries kept, oldest first, each once.
+    /// All retained entries, oldest first, without duplicates.
     pub async fn history(&self) -> Result<Vec<HistoryEntry>, Error> {
         let head = self.head().await?.config;
-        let mut entries = self.history_before(&head).await?;
+        let mut entries = self.archived_history(&head).await?;
         entries.extend(head.history);
         Ok(entries)
     }
 
-    async fn history_before(&self, head: &VersionedConfig) -> Result<Vec<HistoryEntry>, Error> {
+    async fn archived_history(&self, head: &VersionedConfig) -> Result<Vec<HistoryEntry>, Error> {
         let mut archive = self.archive.lock().await;
-        archive.complete(&self.store, head).await?;
-        let first = head.history.first().map_or(1, |entry| entry.version);
-        Ok(archive.entries().filter(|entry| entry.version < first).cloned().collect())
+        archive.load_missing_segments(&self.store, head).await?;
+        let head_start = head.history.first().map_or(1, |entry| entry.version);
+        Ok(archive.entries().filter(|entry| entry.version < head_start).cloned().collect())
     }
 
-    /// Guards against a lost answer: the retry would find its own write in the way and report a
-    /// conflict for a change that took effect. The operation id in the history shows whose write
-    /// it is, also long afterwards. While a write of unknown fate can still land, that is as long
-    /// as the key has not moved on, no refusal is given.
+    /// Commits the configuration that `next` computes from the newest one.
+    ///
+    /// When the answer to a write is lost, the retry finds its own write in the key and would
+    /// report a conflict for a change that took effect. The operation id in the history identifies
+    /// the write, also long afterwards. A write of unknown outcome can still take effect as long as
+    /// the version of the key is unchanged; meanwhile errors are reported as an unknown outcome.
     async fn commit(
         &self,
         operation_id: &str,
         next: impl Fn(&VersionedConfig) -> Result<VersionedConfig, Error>,
     ) -> Result<VersionedConfig, Error> {
         let mut unresolved = None;
-        for tries in 0..RACE_TRIES {
-            let head = self.head().await.map_err(|error| unless_sent(error, unresolved))?;
+        for attempt in 0..MAX_COMMIT_ATTEMPTS {
+            let head = self.head().await.map_err(|error| or_outcome_unknown(error, unresolved))?;
             if self
-                .was_made(&head.config, operation_id)
+                .is_committed(&head.config, operation_id)
                 .await
-                .map_err(|error| unless_sent(error, unresolved))?
+                .map_err(|error| or_outcome_unknown(error, unresolved))?
             {
                 return Ok(head.config);
             }
             unresolved = unresolved.filter(|version| *version == head.key_version);
-            let mut made = next(&head.config).map_err(|error| unless_sent(error, unresolved))?;
-            archive::trim(&self.store, &mut made)
+            let mut updated =
+                next(&head.config).map_err(|error| or_outcome_unknown(error, unresolved))?;
+            archive::trim_history(&self.store, &mut updated)
                 .await
-                .map_err(|error| unless_sent(error, unresolved))?;
-            let value = serde_json::to_string(&made)
+                .map_err(|error| or_outcome_unknown(error, unresolved))?;
+            let value = serde_json::to_string(&updated)
                 .map_err(|error| Error::new(ErrorKind::Protocol, error.to_string()))?;
             match self.store.cas(CONFIG_KEY, head.key_version, value, 0).await {
-                Ok(reply) if reply.applied => return Ok(made),
+                Ok(reply) if reply.applied => return Ok(updated),
                 Ok(_) => {}
                 Err(error) if error.kind == ErrorKind::TooLarge => return Err(error),
                 Err(_) => unresolved = Some(head.key_version),
             }
-            let pause = Duration::from_millis(RACE_PAUSE_MS * u64::from(tries + 1));
-            tokio::time::sleep(pause.mul_f64(self.store.jitter())).await;
+            let backoff = Duration::from_millis(COMMIT_BACKOFF_MS * u64::from(attempt + 1));
+            tokio::time::sleep(backoff.mul_f64(self.store.jitter())).await;
         }
-        let lost = Error::new(ErrorKind::Conflict, "lost the race too often").retry_after(200);
-        Err(unless_sent(lost, unresolved))
+        let lost = Error::new(ErrorKind::Conflict, "gave up after too many concurrent changes")
+            .retry_after(200);
+        Err(or_outcome_unknown(lost, unresolved))
     }
 
-    async fn was_made(&self, head: &VersionedConfig, operation_id: &str) -> Result<bool, Error> {
+    async fn is_committed(
+        &self,
+        head: &VersionedConfig,
+        operation_id: &str,
+    ) -> Result<bool, Error> {
         if head.history.iter().any(|entry| entry.operation_id == operation_id) {
             return Ok(true);
         }
         let mut archive = self.archive.lock().await;
-        archive.complete(&self.store, head).await?;
-        Ok(archive.knows(operation_id))
+        archive.load_missing_segments(&self.store, head).await?;
+        Ok(archive.contains_operation(operation_id))
     }
 
     async fn head(&self) -> Result<Head, Error> {
@@ -171,12 +180,13 @@
     }
 }
 
-/// `error`, or that the outcome is not known when a write may still land.
-fn unless_sent(error: Error, unresolved: Option<u64>) -> Error {
+/// Turns `error` into [`ErrorKind::OutcomeUnknown`] while an unresolved write may still take
+/// effect.
+fn or_outcome_unknown(error: Error, unresolved: Option<u64>) -> Error {
     match unresolved {
         Some(_) => {
-            let what = format!("the change may have been accepted; {}", error.detail);
-            Error::new(ErrorKind::OutcomeUnknown, what).retry_after(1_000)
+            let detail = format!("the change may have been accepted; {}", error.detail);
+            Error::new(ErrorKind::OutcomeUnknown, detail).retry_after(1_000)
         }
         None => error,
     }
--- a/crates/agatesill_coord/src/dependency.rs
+++ b/crates/agatesill_coord/src/dependency.rs
@@ -1,18 +1,19 @@
-//! What a process believes about a service that it depends on, and the lines that say so.
+//! Availability of a service that a process depends on, as seen by that process, with log lines for
+//! each change.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Failures in a row from which a service counts as lost: a single one may be a connection that
-/// was closed for want of use.
-pub const FAILURES_TO_LOSE: u32 = 2;
+/// Consecutive failures after which a service counts as unavailable. A single one may be caused by
+/// an idle connection that the service closed.
+pub const FAILURES_UNTIL_UNAVAILABLE: u32 = 2;
 
-/// A service, such as the store or the daemon that plans.
+/// A service, such as the store or the daemon that runs the planner.
 ///
-/// Each change of belief gives one log line, `dependency_lost` or `dependency_back`, however many
-/// calls fail in between.
+/// Each change of availability writes one log line, `dependency_lost` or `dependency_back`, however
+/// many calls fail in between.
 #[derive(Debug)]
 pub struct Dependency {
     name: &'static str,
@@ -26,84 +27,85 @@
     answered: Option<Instant>,
 }
 
-/// How what is believed about a service has changed.
+/// Effect of the outcome of a call on the availability of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
-    /// As before.
+pub enum AvailabilityChange {
+    /// No change.
     Unchanged,
-    /// It counts as lost from now on.
+    /// The service counts as unavailable from now on.
     Lost,
-    /// It answers again, this many milliseconds after the first call that failed.
-    Back {
-        /// Time without an answer.
+    /// The service answers again.
+    Recovered {
+        /// Time since the first call that failed.
         away_ms: u64,
     },
 }
 
 impl Dependency {
-    /// A service that is not lost.
+    /// A service that counts as available; `name` appears in log lines.
     pub const fn new(name: &'static str) -> Self {
         let state = State { failures: 0, first_failure: None, answered: None };
         Self { name, state: Mutex::new(state) }
     }
 
-    /// A call that was sent at `sent` was answered.
+    /// Records that a call sent at `sent` was answered.
     ///
-    /// Guards against a waiting call from before the loss, as a watch is, whose answer says nothing of
-    /// the service as it is now: the belief would change to and fro in one outage.
-    pub fn answered(&self, sent: Instant) -> Belief {
+    /// The answer to a call that was sent before the first failure, such as a waiting watch, is not
+    /// evidence that the service has recovered; it would make the availability flap during one
+    /// outage.
+    pub fn answered(&self, sent: Instant) -> AvailabilityChange {
         let now = Instant::now();
         let mut state = self.lock();
-        let is_lost = state.failures >= FAILURES_TO_LOSE;
-        if is_lost && state.first_failure.is_some_and(|first| sent <= first) {
-            return Belief::Unchanged;
+        let is_unavailable = state.failures >= FAILURES_UNTIL_UNAVAILABLE;
+        if is_unavailable && state.first_failure.is_some_and(|first| sent <= first) {
+            return AvailabilityChange::Unchanged;
         }
         state.answered = Some(now);
         let failures = std::mem::take(&mut state.failures);
         let first_failure = state.first_failure.take();
         drop(state);
-        if failures < FAILURES_TO_LOSE {
-            return Belief::Unchanged;
+        if failures < FAILURES_UNTIL_UNAVAILABLE {
+            return AvailabilityChange::Unchanged;
         }
         let away_ms = first_failure.map_or(0, |first| (now - first).as_millis() as u64);
         log::info!(event = "dependency_back", dependency = self.name, failures = failures,
             away_ms = away_ms; "");
-        Belief::Back { away_ms }
+        AvailabilityChange::Recovered { away_ms }
     }
 
-    /// A call was not answered, or answered with a failure of the service.
-    pub fn failed(&self, why: &str) -> Belief {
+    /// Records that a call was not answered, or was answered with a failure of the service.
+    pub fn failed(&self, why: &str) -> AvailabilityChange {
         let now = Instant::now();
         let mut state = self.lock();
         state.failures = state.failures.saturating_add(1);
         state.first_failure.get_or_insert(now);
-        let is_lost_now = state.failures == FAILURES_TO_LOSE;
+        let becomes_unavailable = state.failures == FAILURES_UNTIL_UNAVAILABLE;
         let answered = state.answered;
         drop(state);
-        if !is_lost_now {
-            return Belief::Unchanged;
+        if !becomes_unavailable {
+            return AvailabilityChange::Unchanged;
         }
         let answered_ms_ago = answered.map_or(0, |answered| (now - answered).as_millis() as u64);
         log::warn!(event = "dependency_lost", dependency = self.name,
-            failures = FAILURES_TO_LOSE, has_answered = answered.is_some(),
+            failures = FAILURES_UNTIL_UNAVAILABLE, has_answered = answered.is_some(),
             answered_ms_ago = answered_ms_ago; "{why}");
-        Belief::Lost
+        AvailabilityChange::Lost
     }
 
-    /// Calls that failed since the last one that was answered.
+    /// Number of failed calls since the last answered one.
     pub fn consecutive_failures(&self) -> u32 {
         self.lock().failures
     }
 
-    /// Whether the service counts as lost.
+    /// Whether the service counts as unavailable.
     pub fn is_unavailable(&self) -> bool {
-        self.consecutive_failures() >= FAILURES_TO_LOSE
+        self.consecutive_failures() >= FAILURES_UNTIL_UNAVAILABLE
     }
 
-    /// How long the service has been lost; zero while it is not.
+    /// How long the service has been unavailable; zero while it is available.
     pub fn unavailable_for(&self) -> Duration {
         let state = self.lock();
-        let first = state.first_failure.filter(|_| state.failures >= FAILURES_TO_LOSE);
+        let first = state.first_failure.filter(|_| state.failures >= FAILURES_UNTIL_UNAVAILABLE);
         first.map_or(Duration::ZERO, |first| first.elapsed())
     }
 
--- a/crates/agatesill_coord/src/lease.rs
+++ b/crates/agatesill_coord/src/lease.rs
@@ -1,13 +1,14 @@
-//! Ownership of named ranges, each held by a key bound to this process's store lease.
+//! Ownership of named ranges, each represented by a key bound to the store lease of this process.
 //!
-//! The key only says who should act; what makes a stale owner harmless is the epoch in the commit
-//! log (see [`crate::commit_log`]). Two claimants are resolved by the service alone: the key is
-//! created only if it is absent.
+//! The key only names the process that should act. The epoch in the commit log makes a stale owner
+//! harmless (see [`crate::commit_log`]). The service alone decides between two claimants: the key
+//! is created only if it is absent.
 //!
-//! Time is only ever a duration on this process's monotonic clock. A holder counts its lease from
-//! when the renewal was *sent* and stops [`SAFETY_MARGIN_PERCENT`] before its end, so that it has
-//! stopped when a successor starts, as long as clock rates differ by less than that. A process
-//! paused past the end finds [`Ownership::is_valid`] false when it wakes.
+//! All times are durations on the monotonic clock of this process. A holder counts its lease from
+//! the moment when the renewal was *sent* and stops [`SAFETY_MARGIN_PERCENT`] before its end. It
+//! has therefore stopped when a successor starts, as long as clock rates differ by less than that
+//! margin. For a process that was paused past the end, [`Ownership::is_valid`] returns false once
+//! it resumes.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -18,39 +19,40 @@
 
 use crate::store::Store;
 
-/// Prefix of the keys that name owners.
+/// Prefix of the keys that hold owners.
 pub const OWNER_PREFIX: &str = "own/";
 
-/// Ranges under this prefix only say that the instance of that name holds a lease.
+/// Prefix of ranges that only show that the instance in the rest of the name holds a lease.
 pub const MEMBER_RANGE_PREFIX: &str = "member/";
 
-/// A holder stops this share of the lease before its end. Clock rates of instances differ by far
-/// less than 1%; the rest is for the scheduling of threads between the check and the act.
+/// Share of the lease before its end at which a holder stops acting. Clock rates of instances
+/// differ by far less than 1%; the rest covers scheduling delays between the check of the lease and
+/// the action.
 pub const SAFETY_MARGIN_PERCENT: u32 = 20;
 
 value_type! {
-    /// Who owns a range, as it stands in the store.
+    /// Owner of a range, as stored under its key.
     #[derive(Eq)]
     pub struct Owner {
-        /// The instance.
+        /// Name of the instance.
         pub instance: String,
-        /// Lease that the key is bound to; tells two incarnations of an instance apart.
+        /// Lease that the key is bound to; distinguishes two incarnations of an instance.
         pub lease_id: u64,
-        /// Where the owner takes calls of its peers; empty if it names no address.
+        /// Address at which the owner accepts calls from its peers; empty if unknown.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         pub address: String,
-        /// Thousandths of a processor that the owner has; 0 if it does not say.
+        /// Processors of the owner, in thousandths; 0 if unknown.
         #[serde(default, skip_serializing_if = "is_zero")]
         pub cpu_milli: u32,
     }
 }
 
-#[allow(clippy::trivially_copy_pass_by_ref)] // The signature that serde asks for.
+#[allow(clippy::trivially_copy_pass_by_ref)] // Signature required by serde.
 fn is_zero(value: &u32) -> bool {
     *value == 0
 }
 
-/// One process's store lease and the ranges that it owns under it.
+/// The store lease of one process and the ranges that it owns under this lease.
 #[derive(Debug)]
 pub struct Ownership {
     store: Store,
@@ -65,7 +67,7 @@
 }
 
 impl Ownership {
-    /// Prepares to claim ranges for `instance`.
+    /// An ownership without a lease; see [`Ownership::renew`].
     pub fn new(store: Store, instance: &str, ttl: Duration) -> Self {
         Self {
             store,
@@ -80,17 +82,17 @@
         }
     }
 
-    /// The same, with the address at which this process takes calls of its peers.
+    /// Sets the address at which this process accepts calls from its peers.
     pub fn with_address(self, address: &str) -> Self {
         Self { address: address.to_owned(), ..self }
     }
 
-    /// The same, saying how much of a processor this process has, in thousandths.
+    /// Sets the processors of this process, in thousandths.
     pub fn with_cpu(self, cpu_milli: u32) -> Self {
         Self { cpu_milli, ..self }
     }
 
-    /// What the key of a range says while this process owns it.
+    /// Value of the key of a range while this process owns it.
     pub fn owner(&self) -> Owner {
         Owner {
             instance: self.instance.clone(),
@@ -100,37 +102,37 @@
         }
     }
 
-    /// Whether the lease certainly holds at `now`.
+    /// Whether the lease is certain to be held at `now`.
     pub fn is_valid(&self, now: Instant) -> bool {
         self.valid_until.is_some_and(|until| now < until)
     }
 
-    /// Whether `range` is held and the lease certainly holds at `now`.
+    /// Whether `range` is owned and the lease is certain to be held at `now`.
     pub fn holds(&self, range: &str, now: Instant) -> bool {
         self.is_valid(now) && self.held.contains_key(range)
     }
 
-    /// Version of the key that names this process as the owner of `range`: it is higher than that
-    /// of every owner before, so it serves as the epoch.
+    /// Version of the key that names this process as the owner of `range`. It is higher than the
+    /// version of every earlier owner and serves as the epoch.
     pub fn epoch(&self, range: &str) -> Option<u64> {
         self.held.get(range).copied()
     }
 
-    /// Ranges claimed under the present lease.
+    /// Ranges claimed under the current lease.
     pub fn held(&self) -> impl Iterator<Item = &str> {
         self.held.keys().map(String::as_str)
     }
 
-    /// The present store lease; 0 before the first.
+    /// The current store lease; 0 if there is none.
     pub fn lease_id(&self) -> u64 {
         self.lease_id
     }
 
-    /// Renews the lease, or grants a new one when the old is gone; then nothing is held any more.
-    /// Also announces this instance under [`MEMBER_RANGE_PREFIX`], once for each lease.
+    /// Renews the lease, or requests a new one when the old one has ended; all ranges are lost
+    /// then. Also announces this instance under [`MEMBER_RANGE_PREFIX`], once per lease.
     ///
-    /// Guards against a slow answer: the time of validity counts from when the call was sent, since
-    /// the service may have renewed at that moment.
+    /// The validity is counted from the moment when the call was sent, because the service may have
+    /// renewed the lease at that moment although the answer is slow.
     pub async fn renew(&mut self) -> Result<(), Error> {
         self.renew_unannounced().await?;
         if !self.is_announced {
@@ -141,7 +143,8 @@
         Ok(())
     }
 
-    /// The same without the announcement, for a process that only wants the lease.
+    /// Like [`Ownership::renew`] but without the announcement, for a process that only needs the
+    /// lease.
     pub async fn renew_unannounced(&mut self) -> Result<(), Error> {
         if self.lease_id != 0 {
             let sent = clock_now();
@@ -150,7 +153,7 @@
                 self.extend(sent);
                 return Ok(());
             }
-            self.lapse();
+            self.clear_lease();
         }
         let sent = clock_now();
         let ttl_ms = self.ttl.as_millis() as u64;
@@ -160,10 +163,10 @@
         Ok(())
     }
 
-    /// Tries to own `range`; true when the key names this process under its present lease.
+    /// Tries to claim `range`; returns whether its key names this process under its current lease.
     ///
-    /// A key left by an earlier incarnation of the same instance is taken over at once: an instance
-    /// name has one process, and the commit log fences the earlier one.
+    /// A key left by an earlier incarnation of the same instance is taken over immediately: an
+    /// instance name has one process, and the commit log fences the earlier one.
     pub async fn claim(&mut self, range: &str) -> Result<bool, Error> {
         if !self.is_valid(clock_now()) {
             return Ok(false);
@@ -190,25 +193,25 @@
         Ok(false)
     }
 
-    /// Gives `range` up, so that its next owner need not wait for the lease to end. Stop acting on
-    /// it first.
+    /// Releases `range`, so that its next owner does not have to wait for the lease to end. The
+    /// caller must have stopped acting on it.
     pub async fn give_up(&mut self, range: &str) -> Result<(), Error> {
         let Some(version) = self.held.remove(range) else { return Ok(()) };
         self.store.delete(&owner_key(range), version).await?;
         Ok(())
     }
 
-    /// Gives everything up. Stop acting first.
+    /// Revokes the lease and with it all ranges. The caller must have stopped acting on them.
     pub async fn release(&mut self) -> Result<(), Error> {
         let lease_id = self.lease_id;
-        self.lapse();
+        self.clear_lease();
         if lease_id != 0 {
             self.store.call(StoreCall::Revoke { lease_id }).await?;
         }
         Ok(())
     }
 
-    fn lapse(&mut self) {
+    fn clear_lease(&mut self) {
         self.lease_id = 0;
         self.valid_until = None;
         self.held.clear();
@@ -220,12 +223,12 @@
     }
 }
 
-/// The present by the runtime's clock, which tests may pause.
+/// Current time of the runtime's clock, which tests may pause.
 fn clock_now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
 
-/// Key that names the owner of `range`.
+/// Key that holds the owner of `range`.
 pub fn owner_key(range: &str) -> String {
     format!("{OWNER_PREFIX}{range}")
 }
--- a/crates/agatesill_coord/src/lib.rs
+++ b/crates/agatesill_coord/src/lib.rs
@@ -1,9 +1,9 @@
-//! Coordination parts on a small key-value service with compare-and-swap, leases and watches.
+//! Coordination primitives on a small key-value service with compare-and-swap, leases and watches.
 //!
-//! Each part is usable alone: [`store`] calls the service, [`config`] keeps one versioned
-//! document, [`lease`] claims ownership, [`range_assignment`] says who should, [`commit_log`] keeps a fenced
-//! log of deltas with snapshots, [`membership`] says which peers are there, [`dependency`] says
-//! whether a service answers.
+//! Each module is usable alone: [`store`] is the client of the service, [`config`] keeps one
+//! versioned document, [`lease`] claims ownership of ranges, [`range_assignment`] computes the
+//! preferred owners, [`commit_log`] keeps a fenced log of deltas with snapshots, [`membership`]
+//! tracks which peers are alive, [`dependency`] tracks whether a service answers.
 
 pub mod commit_log;
 pub mod config;
--- a/crates/agatesill_coord/src/membership.rs
+++ b/crates/agatesill_coord/src/membership.rs
@@ -1,107 +1,110 @@
-//! Which daemons are there, from four kinds of evidence.
+//! Membership: the state of each peer daemon, derived from four kinds of evidence.
 //!
-//! - direct heartbeats, the quickest;
-//! - what other peers heard, which tells a broken link from a dead process;
-//! - the store lease of each daemon, which ends when it can't renew;
-//! - the platform's list of instances, which lags but knows what was taken away.
+//! - direct heartbeats, the fastest source;
+//! - heartbeats received by other peers, which distinguish a broken connection from a dead process;
+//! - the store lease of each daemon, which ends when the daemon cannot renew it;
+//! - the platform's list of instances, which lags but shows which instances were removed.
 //!
-//! A silent peer is only *suspected*. It counts as *dead* when two sources agree: nobody hears it,
-//! and its lease has ended or the platform no longer lists it. With one source alone, a pause, a
-//! one-way link or an outage of the store would move cells to and fro.
+//! A peer without recent heartbeats is only *suspected*. It counts as *dead* when two sources
+//! agree: no peer receives its heartbeats, and its lease has ended or the platform no longer lists
+//! it. With a single source, a pause, a one-way network failure or an outage of the store would
+//! move cells back and forth.
 //!
-//! The list is a hint for who should claim what; the store decides (see [`crate::lease`]).
+//! The result is only a hint as to which daemon should claim a range; the store decides (see
+//! [`crate::lease`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use agatesill_policy::value_type;
 
-/// Prefix of the platform's list in the store: one key an instance, with `live` or `leaving`.
+/// Prefix of the platform's list in the store: one key per instance, with the value `live` or
+/// `leaving`.
 pub const PLATFORM_PREFIX: &str = "platform/instances/";
 
-/// Heartbeats in a row after which a peer that is new, or was suspected, counts as live. One alone
-/// may be what a dying process or a flapping link still got through.
-const STEADY_HEARTBEATS: u32 = 2;
+/// Consecutive heartbeats after which a new or suspected peer counts as live. A terminating process
+/// or a flapping connection may still deliver a single one.
+const MIN_CONSECUTIVE_HEARTBEATS: u32 = 2;
 
 value_type! {
-    /// Where a peer stands.
+    /// State of a peer as seen by this daemon.
     pub enum PeerState {
-        /// Heard, but not steadily yet.
+        /// Heartbeats arrive, but too few consecutive ones so far.
         Joining,
-        /// Heard steadily.
+        /// Heartbeats arrive regularly.
         Live,
-        /// Not heard here; not known to be dead.
+        /// No recent heartbeat arrived here, but there is no second source that it is dead.
         Suspected,
-        /// Said that it stops, or the platform says so.
+        /// The peer announced that it is stopping, or the platform lists it as leaving.
         Leaving,
-        /// Two sources say that it is gone.
+        /// Two sources agree that the process has terminated.
         Dead,
     }
 }
 
 value_type! {
-    /// One peer as it is judged, with the evidence.
+    /// State of one peer, with the evidence.
     pub struct PeerReport {
-        /// The instance.
+        /// Name of the instance.
         pub instance: String,
-        /// Where it stands.
+        /// State derived from the evidence below.
         pub state: PeerState,
-        /// Time since its newest heartbeat; absent when none was heard.
+        /// Time since its last heartbeat; absent when none was received.
         pub silent_ms: Option<u64>,
-        /// Other peers that hear it.
+        /// Other peers that receive its heartbeats.
         pub heard_by: Vec<String>,
-        /// Whether its store lease is held; absent when the store was not read lately.
+        /// Whether it holds a store lease; absent when the store was not read recently.
         pub has_lease: Option<bool>,
-        /// What the platform's list says of it; absent when it is not listed or not known.
+        /// Its value in the platform's list; absent when it is not listed or the list is unknown.
         pub platform: Option<String>,
-        /// Version of the configuration in force there.
+        /// Version of its active configuration.
         pub config_version: u64,
     }
 }
 
-/// What a heartbeat says of its sender.
+/// Content of the last heartbeat of a peer.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Sequence of its newest heartbeat.
+    /// Sequence number of the heartbeat.
     pub sequence: u64,
-    /// When that arrived.
+    /// When the heartbeat arrived.
     pub heard: Instant,
-    /// Version of the configuration in force there.
+    /// Version of the peer's active configuration.
     pub config_version: u64,
-    /// Whether it said that it is stopping.
+    /// Whether the peer announced that it is stopping.
     pub stopping: bool,
 }
 
 #[derive(Debug)]
-struct Known {
+struct TrackedPeer {
     peer: Peer,
-    in_a_row: u32,
+    consecutive_heartbeats: u32,
 }
 
-/// A list read from the store, with the time of the reading.
+/// A list with the time at which it was read.
 #[derive(Debug)]
-struct Listed<T> {
-    read: Instant,
+struct Observed<T> {
+    read_at: Instant,
     entries: T,
 }
 
-/// All evidence of one daemon.
+/// The evidence that one daemon has about its peers.
 #[derive(Debug)]
 pub struct Membership {
-    peers: BTreeMap<String, Known>,
-    /// By reporter: whom it heard, and when it said so.
-    second_hand: BTreeMap<String, Listed<BTreeSet<String>>>,
-    leases: Option<Listed<BTreeSet<String>>>,
-    platform: Option<Listed<BTreeMap<String, String>>>,
+    peers: BTreeMap<String, TrackedPeer>,
+    /// By reporting peer: the instances whose heartbeats it receives.
+    peer_reports: BTreeMap<String, Observed<BTreeSet<String>>>,
+    leases: Option<Observed<BTreeSet<String>>>,
+    platform: Option<Observed<BTreeMap<String, String>>>,
     suspect_after: Duration,
 }
 
 impl Membership {
-    /// Peers silent for `suspect_after` are no longer live.
+    /// A peer is no longer live when no heartbeat arrived for `suspect_after`.
     pub fn new(suspect_after: Duration) -> Self {
         Self {
             peers: BTreeMap::new(),
-            second_hand: BTreeMap::new(),
+            peer_reports: BTreeMap::new(),
             leases: None,
             platform: None,
             suspect_after,
@@ -110,71 +113,73 @@
 
     /// Records a heartbeat.
     pub fn heard(&mut self, instance: &str, peer: Peer) {
-        let in_a_row = self.peers.get(instance).map_or(0, |known| {
-            let gap = peer.heard.saturating_duration_since(known.peer.heard);
-            if gap < self.suspect_after { known.in_a_row } else { 0 }
+        let consecutive_heartbeats = self.peers.get(instance).map_or(0, |tracked| {
+            let gap = peer.heard.saturating_duration_since(tracked.peer.heard);
+            if gap < self.suspect_after { tracked.consecutive_heartbeats } else { 0 }
         });
-        let known = Known { peer, in_a_row: in_a_row.saturating_add(1) };
-        self.peers.insert(instance.to_owned(), known);
+        let tracked =
+            TrackedPeer { peer, consecutive_heartbeats: consecutive_heartbeats.saturating_add(1) };
+        self.peers.insert(instance.to_owned(), tracked);
     }
 
-    /// Records whom `reporter` hears.
+    /// Records the instances whose heartbeats `reporter` receives.
     pub fn heard_by(&mut self, reporter: &str, instances: BTreeSet<String>, now: Instant) {
-        self.second_hand.insert(reporter.to_owned(), Listed { read: now, entries: instances });
+        self.peer_reports
+            .insert(reporter.to_owned(), Observed { read_at: now, entries: instances });
     }
 
-    /// Records who holds a store lease.
+    /// Records the instances that hold a store lease.
     pub fn update_leases(&mut self, instances: BTreeSet<String>, now: Instant) {
-        self.leases = Some(Listed { read: now, entries: instances });
+        self.leases = Some(Observed { read_at: now, entries: instances });
     }
 
-    /// Records the platform's list; an empty one says nothing.
+    /// Records the platform's list; an empty list is no evidence.
     pub fn update_platform_list(&mut self, instances: BTreeMap<String, String>, now: Instant) {
-        self.platform = Some(Listed { read: now, entries: instances });
+        self.platform = Some(Observed { read_at: now, entries: instances });
     }
 
-    /// Peers that are live at `now`, in order of name.
+    /// Peers that are live at `now`, ordered by name.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = (&str, &Peer)> {
-        self.peers.iter().filter_map(move |(name, known)| {
-            let is_live = self.judge(name, now) == PeerState::Live;
-            is_live.then_some((name.as_str(), &known.peer))
+        self.peers.iter().filter_map(move |(name, tracked)| {
+            let is_live = self.state_of(name, now) == PeerState::Live;
+            is_live.then_some((name.as_str(), &tracked.peer))
         })
     }
 
-    /// Peers heard directly within the time limit, for telling others.
+    /// Peers with a direct heartbeat within `suspect_after`, to be reported to other peers.
     pub fn recent_peers(&self, now: Instant) -> Vec<String> {
-        let lately = |known: &&Known| self.is_fresh(known.peer.heard, now);
-        let peers = self.peers.iter().filter(|(_, known)| lately(known));
+        let is_recent = |tracked: &&TrackedPeer| self.is_fresh(tracked.peer.heard, now);
+        let peers = self.peers.iter().filter(|(_, tracked)| is_recent(tracked));
         peers.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Peers that may own ranges: all that are neither leaving nor dead.
+    /// Peers that may own ranges: those that are live or suspected.
     pub fn candidates(&self, now: Instant) -> Vec<String> {
-        let able = |state| matches!(state, PeerState::Live | PeerState::Suspected);
-        self.peers.keys().filter(|name| able(self.judge(name, now))).cloned().collect()
+        let is_eligible = |state| matches!(state, PeerState::Live | PeerState::Suspected);
+        self.peers.keys().filter(|name| is_eligible(self.state_of(name, now))).cloned().collect()
     }
 
-    /// Where `instance` stands at `now`.
-    pub fn judge(&self, instance: &str, now: Instant) -> PeerState {
-        let platform = self.platform_word(instance, now);
-        let Some(known) = self.peers.get(instance) else {
+    /// State of `instance` at `now`.
+    pub fn state_of(&self, instance: &str, now: Instant) -> PeerState {
+        let platform = self.platform_status(instance, now);
+        let Some(tracked) = self.peers.get(instance) else {
             let is_gone = platform.is_none() && self.has_lease(instance, now) == Some(false);
             return if is_gone { PeerState::Dead } else { PeerState::Suspected };
         };
-        let is_heard = self.is_fresh(known.peer.heard, now);
-        if is_heard && (known.peer.stopping || platform == Some("leaving")) {
+        let is_reachable = self.is_fresh(tracked.peer.heard, now);
+        if is_reachable && (tracked.peer.stopping || platform == Some("leaving")) {
             return PeerState::Leaving;
         }
-        if is_heard {
-            let is_steady = known.in_a_row >= STEADY_HEARTBEATS;
-            return if is_steady { PeerState::Live } else { PeerState::Joining };
+        if is_reachable {
+            let is_regular = tracked.consecutive_heartbeats >= MIN_CONSECUTIVE_HEARTBEATS;
+            return if is_regular { PeerState::Live } else { PeerState::Joining };
         }
-        if !self.hearers(instance, now).is_empty() {
+        if !self.reporters_of(instance, now).is_empty() {
             return PeerState::Suspected;
         }
         let lease_ended = self.has_lease(instance, now) == Some(false);
-        let was_removed = self.lists_others(instance, now) && platform.is_none();
-        if lease_ended || was_removed || known.peer.stopping {
+        let is_removed = self.platform_lists_others(instance, now) && platform.is_none();
+        if lease_ended || is_removed || tracked.peer.stopping {
             PeerState::Dead
         } else {
             PeerState::Suspected
@@ -185,47 +190,51 @@
     pub fn report(&self, now: Instant) -> Vec<PeerReport> {
         self.peers
             .iter()
-            .map(|(name, known)| PeerReport {
+            .map(|(name, tracked)| PeerReport {
                 instance: name.clone(),
-                state: self.judge(name, now),
-                silent_ms: Some(now.saturating_duration_since(known.peer.heard).as_millis() as u64),
-                heard_by: self.hearers(name, now),
+                state: self.state_of(name, now),
+                silent_ms: Some(
+                    now.saturating_duration_since(tracked.peer.heard).as_millis() as u64
+                ),
+                heard_by: self.reporters_of(name, now),
                 has_lease: self.has_lease(name, now),
-                platform: self.platform_word(name, now).map(str::to_owned),
-                config_version: known.peer.config_version,
+                platform: self.platform_status(name, now).map(str::to_owned),
+                config_version: tracked.peer.config_version,
             })
             .collect()
     }
 
-    fn hearers(&self, instance: &str, now: Instant) -> Vec<String> {
-        self.second_hand
+    fn reporters_of(&self, instance: &str, now: Instant) -> Vec<String> {
+        self.peer_reports
             .iter()
-            .filter(|(_, list)| self.is_fresh(list.read, now) && list.entries.contains(instance))
+            .filter(|(_, list)| self.is_fresh(list.read_at, now) && list.entries.contains(instance))
             .map(|(reporter, _)| reporter.clone())
             .collect()
     }
 
-    /// Guards against an outage of the store read as a mass death: a reading older than the time
-    /// limit says nothing.
+    /// `None` if the leases were last read too long ago. An outage of the store would otherwise
+    /// look as if all peers had lost their leases.
     fn has_lease(&self, instance: &str, now: Instant) -> Option<bool> {
         let leases = self.leases.as_ref()?;
-        let limit = self.suspect_after.max(Duration::from_millis(3 * crate::store::WATCH_MS));
-        (now.saturating_duration_since(leases.read) < limit)
+        let max_age =
+            self.suspect_after.max(Duration::from_millis(3 * crate::store::WATCH_TIMEOUT_MS));
+        (now.saturating_duration_since(leases.read_at) < max_age)
             .then(|| leases.entries.contains(instance))
     }
 
-    fn platform_word(&self, instance: &str, now: Instant) -> Option<&str> {
+    fn platform_status(&self, instance: &str, now: Instant) -> Option<&str> {
         let list = self.platform.as_ref()?;
-        let limit = Duration::from_millis(3 * crate::store::WATCH_MS);
-        let is_fresh = now.saturating_duration_since(list.read) < limit;
+        let max_age = Duration::from_millis(3 * crate::store::WATCH_TIMEOUT_MS);
+        let is_fresh = now.saturating_duration_since(list.read_at) < max_age;
         if is_fresh { list.entries.get(instance).map(String::as_str) } else { None }
     }
 
-    /// Whether the platform's list is in use and fresh, so that not being on it means something.
-    fn lists_others(&self, instance: &str, now: Instant) -> bool {
+    /// Whether the platform's list is recent and has other instances, so that absence from it is
+    /// evidence.
+    fn platform_lists_others(&self, instance: &str, now: Instant) -> bool {
         let Some(list) = &self.platform else { return false };
-        let limit = Duration::from_millis(3 * crate::store::WATCH_MS);
-        now.saturating_duration_since(list.read) < limit
+        let max_age = Duration::from_millis(3 * crate::store::WATCH_TIMEOUT_MS);
+        now.saturating_duration_since(list.read_at) < max_age
             && list.entries.keys().any(|name| name != instance)
     }
 
--- a/crates/agatesill_coord/src/store/call_limiter.rs
+++ b/crates/agatesill_coord/src/store/call_limiter.rs
@@ -1,9 +1,10 @@
-//! What stands between the callers of one process and the service: a call budget, a bound on calls
-//! under way, urgent calls first, and a growing, jittered pause while calls fail.
+//! Limits the calls of one process to the service: a rate limit, a bound on calls in flight,
+//! priority for urgent calls, and an exponential, jittered back-off while calls fail.
 //!
-//! Without the pause, every daemon's ledger tries its commit again at each interval of 100 ms
-//! through an outage, and all of them at the moment when the service returns. With it one call at
-//! a time probes the service; the others wait for its outcome, and then for the budget.
+//! Without the back-off, every daemon's ledger would retry its commit every 100 ms during an
+//! outage, and all ledgers would retry at once when the service recovers. With it, one call at a
+//! time probes the service; the others wait for the outcome of the probe, and then for the rate
+//! limit.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -14,98 +15,99 @@
 
 use crate::dependency::Dependency;
 
-/// Calls under way at once, watches aside. At 2 ms a call this is far above any budget; a slow
-/// service meets it first.
-const IN_FLIGHT_CALLS: u32 = 32;
+/// Maximum number of calls in flight, not counting watches. At 2 ms per call this is far above any
+/// rate limit; only a slow service reaches it.
+const MAX_IN_FLIGHT_CALLS: u32 = 32;
 
-/// Callers that may wait; beyond this a call is refused at once.
-const WAITING_CALLS: u32 = 256;
+/// Maximum number of waiting callers; further calls are rejected immediately.
+const MAX_WAITING_CALLS: u32 = 256;
 
-/// Longest wait before a call; longer ones would answer nobody who still listens.
-const WAIT_LIMIT: Duration = Duration::from_millis(1_500);
+/// Maximum wait before a call is sent; after a longer wait the caller has given up.
+const WAIT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Pause after the first failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Back-off after the first failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Shortest wait for the budget: rounding must not turn waiting into a busy loop.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(1);
+/// Minimum wait for the rate limit, so that rounding cannot cause a busy loop.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// Longest pause before jitter. A lease of 5 s must survive an outage of 2 s, so the service's
-/// return has to be noticed well within the second that is left.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// Maximum back-off before jitter. A lease of 5 s must survive an outage of 2 s, so recovery has to
+/// be detected well within the remaining second.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// A call that was answered this shortly ago shows that the service is there.
-const LATELY: Duration = Duration::from_millis(300);
+/// The service counts as available when a call was answered within this time.
+const RECENT_ANSWER: Duration = Duration::from_millis(300);
 
-/// Seconds of budget that may be saved up for a burst.
-const BURST_S: f64 = 2.0;
+/// Unused rate limit that may accumulate for a burst, in seconds.
+const MAX_BURST_S: f64 = 2.0;
 
-/// Seconds of budget that urgent calls may borrow, so that a burst of reads never costs a lease.
-const BORROW_S: f64 = 1.0;
+/// Rate limit that urgent calls may use in advance, in seconds, so that a burst of reads never
+/// costs a lease.
+const URGENT_OVERDRAFT_S: f64 = 1.0;
 
-/// How a call goes through the gate.
+/// Scheduling class of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Class {
-    /// Leases and ledger records: what keeps running work as it is.
+pub(super) enum CallClass {
+    /// Leases and ledger records, which keep running work in place.
     Urgent,
-    /// Everything else.
+    /// All other calls.
     Normal,
-    /// A waiting watch; it counts as a call and occupies nothing.
+    /// A watch: it counts against the rate limit, but not as a call in flight.
     Watch,
 }
 
 #[derive(Debug)]
 struct State {
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
     in_flight: u32,
     waiting: u32,
     urgent_waiting: u32,
     answered: Option<Instant>,
-    /// When a call failed last.
+    /// When a call last failed.
     failed: Instant,
-    paused_until: Instant,
+    backoff_until: Instant,
     is_probing: bool,
 }
 
-/// The gate of one process.
+/// The call limiter of one process.
 #[derive(Debug)]
-pub(super) struct Gate {
+pub(super) struct CallLimiter {
     calls_per_s: f64,
     state: Mutex<State>,
     changed: Notify,
     service: Dependency,
 }
 
-/// Leave to make one call; say how it ended with [`Permit::done`].
+/// Permission to make one call. The caller reports the outcome with [`Permit::done`].
 #[derive(Debug)]
 pub(super) struct Permit<'a> {
-    gate: &'a Gate,
-    class: Class,
+    limiter: &'a CallLimiter,
+    class: CallClass,
     is_probe: bool,
     sent: Instant,
 }
 
-/// Counts a waiting caller for as long as it waits, also when it is cancelled.
+/// Counts a waiting caller until it stops waiting, also by cancellation.
 struct Waiter<'a> {
-    gate: &'a Gate,
-    class: Class,
+    limiter: &'a CallLimiter,
+    class: CallClass,
 }
 
-impl Gate {
-    /// A gate that lets `calls_per_s` through.
+impl CallLimiter {
+    /// A limiter with a rate limit of `calls_per_s`.
     pub(super) fn new(calls_per_s: u32) -> Self {
         let calls_per_s = f64::from(calls_per_s);
         let now = Instant::now();
         let state = State {
-            tokens: calls_per_s * BURST_S,
-            filled: now,
+            tokens: calls_per_s * MAX_BURST_S,
+            refilled_at: now,
             in_flight: 0,
             waiting: 0,
             urgent_waiting: 0,
             answered: None,
             failed: now,
-            paused_until: now,
+            backoff_until: now,
             is_probing: false,
         };
         Self {
@@ -116,22 +118,22 @@
         }
     }
 
-    /// Waits for leave to make a call.
-    pub(super) async fn enter(&self, class: Class) -> Result<Permit<'_>, Error> {
-        let until = Instant::now() + WAIT_LIMIT;
+    /// Waits until a call of this class may be sent.
+    pub(super) async fn acquire(&self, class: CallClass) -> Result<Permit<'_>, Error> {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let _waiter = self.start_waiting(class)?;
         loop {
             let changed = self.changed.notified();
-            let pause = match self.try_enter(class) {
+            let wait = match self.try_acquire(class) {
                 Ok(permit) => return Ok(permit),
-                Err(pause) => pause,
+                Err(wait) => wait,
             };
             let now = Instant::now();
-            if now >= until {
-                let what = "not sent: the service fails or the call budget is used up";
-                return Err(Error::new(ErrorKind::StoreUnavailable, what).retry_after(1_000));
+            if now >= deadline {
+                let detail = "not sent: the service is failing or the rate limit is exhausted";
+                return Err(Error::new(ErrorKind::StoreUnavailable, detail).retry_after(1_000));
             }
-            let next = (now + pause).min(until);
+            let next = (now + wait).min(deadline);
             tokio::select! {
                 () = changed => {}
                 () = tokio::time::sleep_until(next) => {}
@@ -139,57 +141,59 @@
         }
     }
 
-    fn start_waiting(&self, class: Class) -> Result<Waiter<'_>, Error> {
+    fn start_waiting(&self, class: CallClass) -> Result<Waiter<'_>, Error> {
         let mut state = self.lock();
-        if state.waiting >= WAITING_CALLS {
-            let what = format!("not sent: {WAITING_CALLS} calls wait already");
-            return Err(Error::new(ErrorKind::StoreUnavailable, what).retry_after(1_000));
+        if state.waiting >= MAX_WAITING_CALLS {
+            let detail = format!("not sent: {MAX_WAITING_CALLS} calls are already waiting");
+            return Err(Error::new(ErrorKind::StoreUnavailable, detail).retry_after(1_000));
         }
         state.waiting += 1;
-        state.urgent_waiting += u32::from(class == Class::Urgent);
-        Ok(Waiter { gate: self, class })
+        state.urgent_waiting += u32::from(class == CallClass::Urgent);
+        Ok(Waiter { limiter: self, class })
     }
 
-    /// A permit, or how long to wait before asking again.
-    fn try_enter(&self, class: Class) -> Result<Permit<'_>, Duration> {
+    /// Returns a permit, or how long to wait before the next attempt.
+    fn try_acquire(&self, class: CallClass) -> Result<Permit<'_>, Duration> {
         let now = Instant::now();
         let mut state = self.lock();
-        let since_s = now.saturating_duration_since(state.filled).as_secs_f64();
-        state.tokens = (state.tokens + since_s * self.calls_per_s).min(self.calls_per_s * BURST_S);
-        state.filled = now;
-        if now < state.paused_until {
-            return Err(state.paused_until - now);
+        let elapsed_s = now.saturating_duration_since(state.refilled_at).as_secs_f64();
+        state.tokens =
+            (state.tokens + elapsed_s * self.calls_per_s).min(self.calls_per_s * MAX_BURST_S);
+        state.refilled_at = now;
+        if now < state.backoff_until {
+            return Err(state.backoff_until - now);
         }
-        let least = match class {
-            Class::Urgent => 1.0 - BORROW_S * self.calls_per_s,
-            Class::Normal | Class::Watch => 1.0,
+        let min_tokens = match class {
+            CallClass::Urgent => 1.0 - URGENT_OVERDRAFT_S * self.calls_per_s,
+            CallClass::Normal | CallClass::Watch => 1.0,
         };
-        if state.tokens < least {
-            let pause = Duration::from_secs_f64((least - state.tokens) / self.calls_per_s);
-            return Err(pause.max(SHORTEST_PAUSE));
+        if state.tokens < min_tokens {
+            let wait = Duration::from_secs_f64((min_tokens - state.tokens) / self.calls_per_s);
+            return Err(wait.max(MIN_WAIT));
         }
-        let is_probe = self.service.consecutive_failures() > 0 && class != Class::Watch;
-        let is_behind = class == Class::Normal && state.urgent_waiting > 0;
-        let is_full = class != Class::Watch && state.in_flight >= IN_FLIGHT_CALLS;
-        if (is_probe && state.is_probing) || is_behind || is_full {
-            return Err(WAIT_LIMIT);
+        let is_probe = self.service.consecutive_failures() > 0 && class != CallClass::Watch;
+        let must_yield = class == CallClass::Normal && state.urgent_waiting > 0;
+        let at_capacity = class != CallClass::Watch && state.in_flight >= MAX_IN_FLIGHT_CALLS;
+        if (is_probe && state.is_probing) || must_yield || at_capacity {
+            return Err(WAIT_TIMEOUT);
         }
         state.tokens -= 1.0;
-        state.in_flight += u32::from(class != Class::Watch);
+        state.in_flight += u32::from(class != CallClass::Watch);
         state.is_probing |= is_probe;
-        Ok(Permit { gate: self, class, is_probe, sent: now })
+        Ok(Permit { limiter: self, class, is_probe, sent: now })
     }
 
-    /// Shortens the pause after a failure to the first one: somebody else says that the service is back.
-    /// It does not end at once, as many may say so while only this process is cut off.
-    pub(super) fn shorten_pause(&self) {
+    /// Shortens the current back-off to the initial one, when another process has reported that the
+    /// service is available again. It does not end immediately, because many processes may report
+    /// so while only this process is disconnected.
+    pub(super) fn shorten_backoff(&self) {
         let mut state = self.lock();
-        state.paused_until = state.paused_until.min(state.failed + FIRST_PAUSE);
+        state.backoff_until = state.backoff_until.min(state.failed + INITIAL_BACKOFF);
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// What is believed about the service.
+    /// Availability of the service as seen by this process.
     pub(super) fn service(&self) -> &Dependency {
         &self.service
     }
@@ -200,45 +204,46 @@
 }
 
 impl Permit<'_> {
-    /// Says why the service did not answer, if so; `jitter` from 0 to 1 spreads the pause then.
+    /// Reports the outcome: `failure` is set if the service did not answer. `jitter` is between 0
+    /// and 1 and spreads the back-off.
     pub(super) fn done(self, failure: Option<&str>, jitter: f64) {
-        let mut state = self.gate.lock();
+        let mut state = self.limiter.lock();
         let now = Instant::now();
         let Some(failure) = failure else {
-            self.gate.service.answered(self.sent);
+            self.limiter.service.answered(self.sent);
             state.answered = Some(now);
             return;
         };
-        // A service that loses some answers and gives others is not away; pausing would stop what
-        // it still does.
-        if state.answered.is_some_and(|answered| now - answered < LATELY) {
+        // A service that loses only some of the answers is available; a back-off would stop the
+        // calls that still succeed.
+        if state.answered.is_some_and(|answered| now - answered < RECENT_ANSWER) {
             return;
         }
-        let pause = FIRST_PAUSE * (1 << self.gate.service.consecutive_failures().min(8));
-        self.gate.service.failed(failure);
+        let backoff = INITIAL_BACKOFF * (1 << self.limiter.service.consecutive_failures().min(8));
+        self.limiter.service.failed(failure);
         state.failed = now;
-        state.paused_until = now + pause.min(LONGEST_PAUSE).mul_f64(0.5 + jitter);
+        state.backoff_until = now + backoff.min(MAX_BACKOFF).mul_f64(0.5 + jitter);
     }
 }
 
 impl Drop for Permit<'_> {
     fn drop(&mut self) {
-        let mut state = self.gate.lock();
-        state.in_flight -= u32::from(self.class != Class::Watch);
+        let mut state = self.limiter.lock();
+        state.in_flight -= u32::from(self.class != CallClass::Watch);
         if self.is_probe {
             state.is_probing = false;
         }
         drop(state);
-        self.gate.changed.notify_waiters();
+        self.limiter.changed.notify_waiters();
     }
 }
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        let mut state = self.gate.lock();
+        let mut state = self.limiter.lock();
         state.waiting -= 1;
-        state.urgent_waiting -= u32::from(self.class == Class::Urgent);
+        state.urgent_waiting -= u32::from(self.class == CallClass::Urgent);
         drop(state);
-        self.gate.changed.notify_waiters();
+        self.limiter.changed.notify_waiters();
     }
 }
--- a/crates/agatesill_coord/src/store/mod.rs
+++ b/crates/agatesill_coord/src/store/mod.rs
@@ -1,9 +1,9 @@
-//! The adapter to the platform's key-value service.
+//! Client of the platform's key-value service.
 //!
-//! A [`Transport`] is the only thing to replace for another service: one function from a call to
-//! an answer. Around it stand a deadline for each call, a budget of calls a second, a bounded
-//! queue in which leases and ledger records go first, a jittered pause while calls fail, counters,
-//! and a check against stale reads: the service's revision never falls for one client.
+//! Only the [`Transport`] has to be replaced for another service: a function from a call to a
+//! reply. The client adds a timeout per call, a rate limit, a bounded queue in which leases and
+//! ledger records have priority, a jittered back-off while calls fail, counters, and a check
+//! against stale reads: the revision of the service never decreases for one client.
 
 mod call_limiter;
 mod watch;
@@ -22,49 +22,49 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use self::call_limiter::{Class, Gate};
-pub use self::watch::{WATCH_MS, watch_prefix};
+use self::call_limiter::{CallClass, CallLimiter};
+pub use self::watch::{WATCH_TIMEOUT_MS, watch_prefix};
 
-/// Answers of the service that take longer than this count as an outage.
-pub const CALL_LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout of a call. A service that takes longer counts as unavailable.
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The same for a page of up to a megabyte, which takes a second on a link of 10 Mbit/s.
-pub const PAGE_LIMIT: Duration = Duration::from_millis(4_000);
+/// Timeout of a call for a page, which has up to 1 MB and takes a second at 10 Mbit/s.
+pub const PAGE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Calls a second that one process may make unless told otherwise. Eight daemons at this rate stay
-/// below the service's two thousand reads and several hundred writes.
+/// Default rate limit of one process, in calls per second. Eight daemons at this rate stay below
+/// the service's two thousand reads and several hundred writes per second.
 pub const DEFAULT_CALLS_PER_S: u32 = 100;
 
-/// Readings of one call that may turn out stale before it fails.
-const STALE_TRIES: usize = 3;
+/// Maximum number of attempts to read before a call with stale replies fails.
+const MAX_READ_ATTEMPTS: usize = 3;
 
-/// What a transport returns.
+/// The reply to one call, as returned by a [`Transport`].
 pub type ReplyFuture = Pin<Box<dyn Future<Output = Result<StoreReply, Error>> + Send>>;
 
-/// How calls reach the service; replace this to talk to another one.
+/// Sends one call to the service, with a timeout.
 pub type Transport = Arc<dyn Fn(StoreCall, Duration) -> ReplyFuture + Send + Sync>;
 
-/// Calls by direction since the start.
+/// Number of calls since the start of the process.
 #[derive(Debug, Default)]
 pub struct CallCounts {
     /// Writes, grants, renewals and revocations.
     pub writes: AtomicU64,
     /// Reads and watches.
     pub reads: AtomicU64,
-    /// Calls that failed or ran out of time.
+    /// Calls that failed or timed out.
     pub failures: AtomicU64,
-    /// Calls that were not sent: queue full, service failing, or budget used up.
+    /// Calls that were not sent: queue full, service failing, or rate limit exhausted.
     pub unsent: AtomicU64,
-    /// Readings that were older than what this process had seen.
+    /// Replies with a revision older than one that this process had already seen.
     pub stale: AtomicU64,
 }
 
-/// The key-value service as the other parts see it.
+/// Client of the key-value service. Clones share the rate limit, the counters and the revision.
 #[derive(Clone)]
 pub struct Store {
     transport: Transport,
     counts: Arc<CallCounts>,
-    gate: Arc<Gate>,
+    limiter: Arc<CallLimiter>,
     revision: Arc<AtomicU64>,
     random: Arc<Mutex<Pcg64Mcg>>,
 }
@@ -76,69 +76,69 @@
 }
 
 impl Store {
-    /// Uses the service at `addr` over HTTP.
+    /// Connects to the service at `addr` over HTTP.
     pub fn over_http(addr: SocketAddr) -> Self {
         let client = JsonClient::default();
-        Self::with_transport(Arc::new(move |call, limit| {
+        Self::with_transport(Arc::new(move |call, timeout| {
             let client = client.clone();
-            Box::pin(async move { client.call(Method::POST, addr, "/v1/kv", &call, limit).await })
+            Box::pin(async move { client.call(Method::POST, addr, "/v1/kv", &call, timeout).await })
         }))
     }
 
-    /// Uses any transport.
+    /// Uses `transport` to reach the service.
     pub fn with_transport(transport: Transport) -> Self {
         Self {
             transport,
             counts: Arc::default(),
-            gate: Arc::new(Gate::new(DEFAULT_CALLS_PER_S)),
+            limiter: Arc::new(CallLimiter::new(DEFAULT_CALLS_PER_S)),
             revision: Arc::default(),
             random: Arc::new(Mutex::new(Pcg64Mcg::seed_from_u64(rand::random()))),
         }
     }
 
-    /// The same with a budget of `calls_per_s`, shared by all clones made from here on.
+    /// Sets the rate limit, shared by all later clones.
     pub fn with_rate_limit(self, calls_per_s: u32) -> Self {
-        Self { gate: Arc::new(Gate::new(calls_per_s)), ..self }
+        Self { limiter: Arc::new(CallLimiter::new(calls_per_s)), ..self }
     }
 
-    /// The same with pauses drawn from `seed`, for runs that can be repeated.
+    /// Seeds the jitter of back-offs, for reproducible runs.
     pub fn with_seed(self, seed: u64) -> Self {
         Self { random: Arc::new(Mutex::new(Pcg64Mcg::seed_from_u64(seed))), ..self }
     }
 
-    /// A number from 0 to 1, for pauses that should differ between callers.
+    /// A random number between 0 and 1, to spread the back-offs of different callers.
     pub fn jitter(&self) -> f64 {
         self.random.lock().unwrap_or_else(PoisonError::into_inner).random()
     }
 
-    /// Calls since the start.
+    /// Counters since the start of the process.
     pub fn counts(&self) -> &CallCounts {
         &self.counts
     }
 
-    /// Calls that failed since the last one that was answered.
+    /// Number of failed calls since the last answered one.
     pub fn consecutive_failures(&self) -> u32 {
-        self.gate.service().consecutive_failures()
+        self.limiter.service().consecutive_failures()
     }
 
-    /// Whether call after call fails: a caller is then told at once to come back instead of waiting
-    /// for a call that will not be answered.
+    /// Whether consecutive calls have failed. A request can then be rejected immediately, to be
+    /// retried later, instead of waiting for a call that will not be answered.
     pub fn is_unavailable(&self) -> bool {
-        self.gate.service().is_unavailable()
+        self.limiter.service().is_unavailable()
     }
 
-    /// How long call after call has failed; zero while calls are answered.
+    /// How long calls have been failing; zero while the service is available.
     pub fn unavailable_for(&self) -> Duration {
-        self.gate.service().unavailable_for()
+        self.limiter.service().unavailable_for()
     }
 
-    /// Lets the next call out soon where calls pause after failures. For a process that learns from
-    /// another that the service answers again.
+    /// Shortens the back-off after failures, so that the next call is sent soon. To be called when
+    /// another process reports that the service is available again.
     pub fn retry_soon(&self) {
-        self.gate.shorten_pause();
+        self.limiter.shorten_backoff();
     }
 
-    /// Makes one call. An error says nothing about whether it took effect.
+    /// Makes one call. After an error, it is unknown whether the call took effect.
     pub async fn call(&self, call: StoreCall) -> Result<StoreReply, Error> {
         self.call_reporting_outcome(call).await.map_err(|error| match error.kind {
             ErrorKind::OutcomeUnknown => Error { kind: ErrorKind::StoreUnavailable, ..error },
@@ -146,13 +146,13 @@
         })
     }
 
-    /// Makes one call. [`ErrorKind::OutcomeUnknown`] means that it may have taken effect, or may do
-    /// so later; every other kind that it has not and never will.
+    /// Makes one call. [`ErrorKind::OutcomeUnknown`] means that it may have taken effect or may
+    /// still do so; every other kind means that it has not and never will.
     pub async fn call_reporting_outcome(&self, call: StoreCall) -> Result<StoreReply, Error> {
-        for _ in 0..STALE_TRIES {
-            // Guards against a stale read, as from a replica that lags: it would bring back a
-            // configuration or an owner that this process knows to be past.
-            let seen = self.least_revision(&call);
+        for _ in 0..MAX_READ_ATTEMPTS {
+            // A lagging replica may return a stale reply, which would restore a configuration or an
+            // owner that this process knows to be outdated.
+            let seen = self.min_revision(&call);
             let reply = self.call_once(call.clone()).await?;
             if reply.is_compacted {
                 return Ok(reply);
@@ -166,41 +166,43 @@
                 return Ok(reply);
             }
         }
-        Err(Error::new(ErrorKind::StoreUnavailable, "stale readings").retry_after(500))
+        Err(Error::new(ErrorKind::StoreUnavailable, "the service returned stale data")
+            .retry_after(500))
     }
 
-    /// The revision below which an answer to a call is stale. A watch tells the changes after its own
-    /// revision and, if they are many, not all of them: where it ends is behind this process, not stale.
-    fn least_revision(&self, call: &StoreCall) -> u64 {
+    /// Minimum revision of a reply that is not stale. A watch returns the changes after its own
+    /// revision and, if there are many, only the first ones, so that its reply may have a lower
+    /// revision than this process has seen without being stale.
+    fn min_revision(&self, call: &StoreCall) -> u64 {
         match call {
             StoreCall::Watch { after_revision, .. } => *after_revision,
             _ => self.newest_revision(),
         }
     }
 
-    /// The newest revision of the service that this process has seen.
+    /// Highest revision of the service that this process has seen.
     pub fn newest_revision(&self) -> u64 {
         self.revision.load(Ordering::Acquire)
     }
 
     async fn call_once(&self, call: StoreCall) -> Result<StoreReply, Error> {
-        let limit = match &call {
-            StoreCall::Watch { wait_ms, .. } => CALL_LIMIT + Duration::from_millis(*wait_ms),
-            StoreCall::Page { .. } => PAGE_LIMIT,
-            _ => CALL_LIMIT,
+        let timeout = match &call {
+            StoreCall::Watch { wait_ms, .. } => CALL_TIMEOUT + Duration::from_millis(*wait_ms),
+            StoreCall::Page { .. } => PAGE_TIMEOUT,
+            _ => CALL_TIMEOUT,
         };
-        let permit = self.gate.enter(class_of(&call)).await.inspect_err(|_| {
+        let permit = self.limiter.acquire(class_of(&call)).await.inspect_err(|_| {
             self.counts.unsent.fetch_add(1, Ordering::Relaxed);
         })?;
         let count = if is_read(&call) { &self.counts.reads } else { &self.counts.writes };
         count.fetch_add(1, Ordering::Relaxed);
-        let outcome = tokio::time::timeout(limit, (self.transport)(call, limit)).await;
+        let outcome = tokio::time::timeout(timeout, (self.transport)(call, timeout)).await;
         let outcome = outcome.unwrap_or_else(|_| {
-            let what = format!("no answer within {} ms", limit.as_millis());
-            Err(Error::new(ErrorKind::Unreachable, what))
+            let detail = format!("no answer within {} ms", timeout.as_millis());
+            Err(Error::new(ErrorKind::Unreachable, detail))
         });
         let failure = outcome.as_ref().err().filter(|error| {
-            // The service's own word that the call can never be done is an answer.
+            // A rejection of an invalid call is an answer: the service is available.
             !matches!(error.kind, ErrorKind::TooLarge | ErrorKind::BadRequest)
         });
         permit.done(failure.map(|error| error.detail.as_str()), self.jitter());
@@ -210,7 +212,7 @@
             if answered {
                 return error;
             }
-            // Without an answer the call may have taken effect, or may do so later.
+            // Without an answer, the call may have taken effect or may still do so.
             let kind = match error.kind {
                 ErrorKind::Unreachable => ErrorKind::OutcomeUnknown,
                 _ => ErrorKind::StoreUnavailable,
@@ -230,13 +232,14 @@
         Ok(self.call(StoreCall::Range { prefix: prefix.to_owned() }).await?.entries)
     }
 
-    /// Deletes `key` if its version is `expect_version`; true when it did.
+    /// Deletes `key` if its version is `expect_version`; returns whether it was deleted.
     pub async fn delete(&self, key: &str, expect_version: u64) -> Result<bool, Error> {
         let call = StoreCall::Cas { key: key.to_owned(), expect_version, value: None, lease_id: 0 };
         Ok(self.call(call).await?.applied)
     }
 
-    /// Writes `key` if its version is `expect_version`; returns the service's answer.
+    /// Writes `key` if its version is `expect_version`, bound to lease `lease_id` unless that is 0.
+    /// The reply's `applied` is false if the version differs.
     pub async fn cas(
         &self,
         key: &str,
@@ -250,23 +253,25 @@
 }
 
 impl Store {
-    /// Reads everything under `prefix`, page by page. The pages are no snapshot; the revision of
-    /// the reply is that of the first, so that a watch from there on misses nothing.
+    /// Reads all keys under `prefix`, page by page. The pages are not a consistent snapshot. The
+    /// reply has the revision of the first page, so that a watch from that revision misses no
+    /// change.
     pub async fn read_all(&self, prefix: &str) -> Result<StoreReply, Error> {
         let first = StoreCall::Page { prefix: prefix.to_owned(), after: String::new() };
-        let mut all = self.call(first).await?;
-        let mut has_more = all.has_more;
+        let mut combined = self.call(first).await?;
+        let mut has_more = combined.has_more;
         while has_more {
-            let Some(last) = all.entries.last() else { break };
+            let Some(last) = combined.entries.last() else { break };
             let next = StoreCall::Page { prefix: prefix.to_owned(), after: last.key.clone() };
             let page = self.call(next).await?;
             has_more = page.has_more;
-            all.entries.extend(page.entries);
+            combined.entries.extend(page.entries);
         }
-        Ok(all)
+        Ok(combined)
     }
 
-    /// Writes and deletes keys together; false in the reply's `applied` if a version differs.
+    /// Writes and deletes keys in one transaction. The reply's `applied` is false if a version
+    /// differs.
     pub async fn txn(
         &self,
         expected: Vec<KeyVersion>,
@@ -281,16 +286,18 @@
     matches!(call, StoreCall::Range { .. } | StoreCall::Page { .. } | StoreCall::Watch { .. })
 }
 
-fn class_of(call: &StoreCall) -> Class {
+fn class_of(call: &StoreCall) -> CallClass {
     match call {
-        StoreCall::Watch { .. } => Class::Watch,
+        StoreCall::Watch { .. } => CallClass::Watch,
         StoreCall::Grant { .. } | StoreCall::Renew { .. } | StoreCall::Revoke { .. } => {
-            Class::Urgent
+            CallClass::Urgent
         }
         StoreCall::Cas { key, .. } if !key.starts_with(crate::config::CONFIG_PREFIX) => {
-            Class::Urgent
+            CallClass::Urgent
+        }
+        StoreCall::Txn { .. } => CallClass::Urgent,
+        StoreCall::Cas { .. } | StoreCall::Range { .. } | StoreCall::Page { .. } => {
+            CallClass::Normal
         }
-        StoreCall::Txn { .. } => Class::Urgent,
-        StoreCall::Cas { .. } | StoreCall::Range { .. } | StoreCall::Page { .. } => Class::Normal,
     }
 }
--- a/crates/agatesill_coord/src/store/watch.rs
+++ b/crates/agatesill_coord/src/store/watch.rs
@@ -1,4 +1,4 @@
-//! One watch over a prefix, kept up through failures.
+//! A watch on a prefix that is re-established after every failure.
 
 use std::time::Duration;
 
@@ -7,21 +7,22 @@
 
 use super::Store;
 
-/// How long one watch waits. Each counts as a call and is followed by a reading, so one followed
-/// prefix costs half a read a second. A broken watch delays news by no more than this.
-pub const WATCH_MS: u64 = 4_000;
+/// Maximum duration of one watch call. Each watch counts as a call and is followed by a read, so
+/// that one watched prefix costs half a read per second. A broken watch delays updates by at most
+/// this duration.
+pub const WATCH_TIMEOUT_MS: u64 = 4_000;
 
-/// Shortest time between two readings, so that a busy prefix does not turn into a busy loop.
-const READING_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum interval between two reads, so that frequent changes do not cause a busy loop.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause after a failed call; the gate of the store adds its own when it fails again and again.
-const FAILURE_PAUSE: Duration = Duration::from_millis(200);
+/// Back-off after a failed call. The call limiter of the store adds its own when failures repeat.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Calls `on_entries` with all that stands under `prefix`, first at once and then after every
-/// change, until `stop` is cancelled. Changes in quick succession are seen as one.
+/// Calls `on_entries` with all entries under `prefix`, first immediately and then after every
+/// change, until `stop` is cancelled. Changes in quick succession are reported together.
 ///
-/// Guards against a change that falls between the reading and the watch: the watch counts from the
-/// revision that the reading had.
+/// The watch starts at the revision of the preceding read, so that no change between the read and
+/// the watch is missed.
 pub async fn watch_prefix(
     store: Store,
     prefix: &str,
@@ -32,7 +33,7 @@
         loop {
             let call = StoreCall::Range { prefix: prefix.to_owned() };
             let Ok(reply) = store.call(call).await else {
-                tokio::time::sleep(FAILURE_PAUSE).await;
+                tokio::time::sleep(FAILURE_BACKOFF).await;
                 continue;
             };
             on_entries(reply.entries);
@@ -46,11 +47,11 @@
 }
 
 async fn wait_for_change(store: &Store, prefix: &str, after_revision: u64) {
-    tokio::time::sleep(READING_PAUSE).await;
+    tokio::time::sleep(MIN_READ_INTERVAL).await;
     let prefix = prefix.to_owned();
-    let watch = StoreCall::Watch { prefix, after_revision, wait_ms: WATCH_MS };
-    // A watch that ends without a change may also be a broken one; the caller reads again.
+    let watch = StoreCall::Watch { prefix, after_revision, wait_ms: WATCH_TIMEOUT_MS };
+    // A watch that ends without a change may be broken, so the caller reads again in any case.
     if store.call(watch).await.is_err() {
-        tokio::time::sleep(FAILURE_PAUSE).await;
+        tokio::time::sleep(FAILURE_BACKOFF).await;
     }
 }
--- a/crates/agatesill_coord/tests/config.rs
+++ b/crates/agatesill_coord/tests/config.rs
@@ -1,4 +1,4 @@
-//! The versioned configuration under races, lost answers and late retries.
+//! Tests of the versioned configuration with concurrent changes, lost answers and late retries.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use agatesill_coord::config::{DeclaredCapacity, HISTORY_KEPT};
+use agatesill_coord::config::{DeclaredCapacity, SEGMENT_ENTRIES};
 use agatesill_coord::prelude::*;
 use agatesill_policy::prelude::{Evacuation, Team};
 use agatesill_wire::api::ConfigChange;
@@ -27,14 +27,15 @@
     }
 }
 
-/// Sixteen operators race through two daemons while answers are lost and calls land late. Every
-/// change reported accepted must be in the history once; one reported refused must not be there.
+/// Sixteen operators make concurrent changes through two daemons while answers are lost and calls
+/// are delayed. Every change reported as accepted must be in the history exactly once, and no
+/// change reported as rejected may be there.
 #[tokio::test(start_paused = true)]
-async fn racing_operators_with_lost_answers() {
+async fn concurrent_changes_with_lost_answers_are_applied_once() {
     let mem = MemStore::default();
     let daemons = [mem.client(1), mem.client(2)];
     for daemon in &daemons {
-        daemon.set(Faults {
+        daemon.set_faults(Faults {
             delay_ms: 5,
             lost_answers_percent: 5,
             late_calls_percent: 2,
@@ -51,12 +52,12 @@
             for nth in 0..12 {
                 let id = format!("{operator}-{nth}");
                 let change = team(&id, &format!("team-{operator}"), nth + 1);
-                let mut is_unknown = false;
+                let mut is_outcome_unknown = false;
                 let kind = loop {
                     match config.change(&change, 0).await.map_err(|error| error.kind) {
-                        Err(ErrorKind::OutcomeUnknown) => is_unknown = true,
-                        // Speaks of this sending only; the one before may have been made.
-                        Err(ErrorKind::StoreUnavailable) if is_unknown => {}
+                        Err(ErrorKind::OutcomeUnknown) => is_outcome_unknown = true,
+                        // Refers to this attempt only; an earlier one may have been applied.
+                        Err(ErrorKind::StoreUnavailable) if is_outcome_unknown => {}
                         other => break other.err(),
                     }
                 };
@@ -74,53 +75,54 @@
     let versions: Vec<u64> = history.iter().map(|entry| entry.version).collect();
     assert_eq!(versions, (1..=history.len() as u64).collect::<Vec<u64>>());
     for (id, refused) in outcomes {
-        let times = history.iter().filter(|entry| entry.operation_id == id).count();
-        assert_eq!(times, usize::from(refused.is_none()), "{id}: {refused:?}");
+        let count = history.iter().filter(|entry| entry.operation_id == id).count();
+        assert_eq!(count, usize::from(refused.is_none()), "{id}: {refused:?}");
     }
-    assert!(history.len() > HISTORY_KEPT);
+    assert!(history.len() > SEGMENT_ENTRIES);
 }
 
-/// An operator's tool retries a change hours later, after hundreds of others. Without the archive
-/// it would be made a second time and undo what was set since.
+/// An operator's tool retries a change hours later, after hundreds of other changes. Without the
+/// archive the change would be applied a second time and revert later ones.
 #[tokio::test(start_paused = true)]
 async fn very_late_retry_is_recognised() {
     let mem = MemStore::default();
     let config = ConfigStore::new(mem.client(1).store);
     config.change(&team("first", "ledger", 1), 0).await.unwrap();
-    for nth in 0..5 * HISTORY_KEPT as u32 {
+    for nth in 0..5 * SEGMENT_ENTRIES as u32 {
         config.change(&team(&format!("later-{nth}"), "ledger", nth + 2), 0).await.unwrap();
     }
     let other_daemon = ConfigStore::new(mem.client(2).store);
     let found = other_daemon.change(&team("first", "ledger", 1), 0).await.unwrap();
-    assert_eq!(found.version, 5 * HISTORY_KEPT as u64 + 1);
+    assert_eq!(found.version, 5 * SEGMENT_ENTRIES as u64 + 1);
     assert_ne!(found.doc.teams["ledger"].weight, 1);
     let history = other_daemon.history().await.unwrap();
     assert_eq!(history.len() as u64, found.version);
 }
 
-/// A change made days ago turns out wrong. Going back must give that document as a new version,
-/// also when the entries between stand in the archive.
+/// A change from days ago has to be rolled back. The rollback must restore the earlier document as
+/// a new version, also when the entries in between are archived.
 #[tokio::test(start_paused = true)]
-async fn rollback_is_a_new_version() {
+async fn rollback_creates_a_new_version() {
     let config = ConfigStore::new(MemStore::default().client(1).store);
-    for nth in 0..3 * HISTORY_KEPT as u32 {
+    for nth in 0..3 * SEGMENT_ENTRIES as u32 {
         let name = format!("team-{}", nth % 7);
         config.change(&team(&format!("{nth}"), &name, nth + 1), 0).await.unwrap();
     }
     let before = config.read().await.unwrap();
-    let made = config.rollback(10, &team("back", "ignored", 1), 0).await.unwrap();
-    assert_eq!(made.version, before.version + 1);
-    let weights: Vec<u32> = made.doc.teams.values().map(|team| team.weight).collect();
+    let rolled_back = config.rollback(10, &team("back", "ignored", 1), 0).await.unwrap();
+    assert_eq!(rolled_back.version, before.version + 1);
+    let weights: Vec<u32> = rolled_back.doc.teams.values().map(|team| team.weight).collect();
     assert_eq!(weights, [8, 9, 10, 4, 5, 6, 7]);
-    let again = config.rollback(before.version, &team("forth", "ignored", 1), 0).await.unwrap();
-    assert_eq!(again.doc, before.doc);
+    let restored = config.rollback(before.version, &team("forth", "ignored", 1), 0).await.unwrap();
+    assert_eq!(restored.doc, before.doc);
     let missing = config.rollback(10_000, &team("never", "ignored", 1), 0).await.unwrap_err();
     assert_eq!(missing.kind, ErrorKind::NotFound);
 }
 
-/// Two operators read version 1; the slower one's change must not silently undo the faster one's.
+/// Two operators change version 1. The second change must not silently revert the first one; the
+/// error must name the author of the first change and the difference.
 #[tokio::test(start_paused = true)]
-async fn loser_learns_who_won_and_what_differs() {
+async fn conflict_names_the_other_author_and_change() {
     let config = ConfigStore::new(MemStore::default().client(1).store);
     config.change(&team("a", "ledger", 1), 0).await.unwrap();
     let change = |id: &str, weight| ConfigChange { base_version: 1, ..team(id, "ledger", weight) };
@@ -130,28 +132,30 @@
     assert!(error.detail.contains("version 2 by nora: team ledger changed: weight 1 -> 5"));
 }
 
-/// Quotas sold to two teams exceed the processors there are; the operator hears the arithmetic.
+/// The quotas of two teams exceed the processors of the workers; the message must show the
+/// arithmetic.
 #[tokio::test(start_paused = true)]
-async fn selling_beyond_the_floor_is_said() {
+async fn overcommitted_quotas_are_reported() {
     let store = MemStore::default().client(1).store;
     let mut change = team("a", "ledger", 1);
     for (name, quota_cpu_milli) in [("ledger", 600), ("bills", 500)] {
         change.teams.insert(name.to_owned(), Some(Team { weight: 1, quota_cpu_milli }));
     }
-    let floor = DeclaredCapacity { cpu_milli: 1_000, ..DeclaredCapacity::default() };
+    let capacity = DeclaredCapacity { cpu_milli: 1_000, ..DeclaredCapacity::default() };
     let strict = ConfigStore::new(store.clone())
-        .with_declared_capacity(DeclaredCapacity { reject_overcommit: true, ..floor.clone() });
+        .with_declared_capacity(DeclaredCapacity { reject_overcommit: true, ..capacity.clone() });
     let refused = strict.change(&change, 0).await.unwrap_err();
     assert_eq!(refused.kind, ErrorKind::Impossible);
-    assert!(refused.detail.contains("bills 500 + ledger 600 = 1100, the floor holds 1000"));
-    let made =
-        ConfigStore::new(store).with_declared_capacity(floor).change(&change, 0).await.unwrap();
-    assert!(made.history[0].changes.iter().any(|line| line.starts_with("warning: quotas")));
+    assert!(refused.detail.contains("bills 500 + ledger 600 = 1100, the workers have 1000"));
+    let updated =
+        ConfigStore::new(store).with_declared_capacity(capacity).change(&change, 0).await.unwrap();
+    assert!(updated.history[0].changes.iter().any(|line| line.starts_with("warning: quotas")));
 }
 
-/// Guards against an evacuation that a rollback leaves in force, or that a restored zone keeps.
+/// An evacuation must belong to its version, so that a rollback does not leave it active and a
+/// restored zone does not keep it.
 #[tokio::test(start_paused = true)]
-async fn evacuations_are_made_and_undone_with_their_version() {
+async fn evacuations_are_applied_and_rolled_back() {
     let mem = MemStore::default();
     let config = ConfigStore::new(mem.client(1).store);
     let evacuation = Evacuation { reason: "switch is replaced".to_owned() };
@@ -159,11 +163,11 @@
     config.change(&change, 0).await.unwrap();
     change.operation_id = "two".to_owned();
     change.evacuations.insert("east-b".to_owned(), Some(evacuation.clone()));
-    let made = config.change(&change, 0).await.unwrap();
-    assert_eq!(made.doc.evacuations.get("east-b"), Some(&evacuation));
+    let updated = config.change(&change, 0).await.unwrap();
+    assert_eq!(updated.doc.evacuations.get("east-b"), Some(&evacuation));
     let mut back = team("three", "ledger", 1);
     back.teams.clear();
-    let made = config.rollback(1, &back, 0).await.unwrap();
-    assert!(made.doc.evacuations.is_empty());
-    assert_eq!(made.history.last().unwrap().changes, ["evacuation east-b retired"]);
+    let updated = config.rollback(1, &back, 0).await.unwrap();
+    assert!(updated.doc.evacuations.is_empty());
+    assert_eq!(updated.history.last().unwrap().changes, ["evacuation east-b retired"]);
 }
--- a/crates/agatesill_coord/tests/decoders.rs
+++ b/crates/agatesill_coord/tests/decoders.rs
@@ -1,7 +1,7 @@
-//! Logs and configurations read from a store that holds random bytes: reported, no panic.
+//! Property tests: random bytes in stored logs and configurations are reported without a panic.
 //!
-//! `PROPTEST_CASES=1000000 cargo test --release -p agatesill_coord --test decoders` makes a million
-//! inputs for each.
+//! `PROPTEST_CASES=1000000 cargo test --release -p agatesill_coord --test decoders` runs a million
+//! cases of each test.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,8 +22,8 @@
     })
 }
 
-/// A sound log of three records, one key of which is replaced or damaged.
-async fn harmed(key: &str, at: prop::sample::Index, with: &str) -> MemStore {
+/// A valid log of three records, with `inserted` added to the value of `key` at a random position.
+async fn damaged_store(key: &str, at: prop::sample::Index, inserted: &str) -> MemStore {
     let mem = MemStore::default();
     let store = mem.client(1).store;
     let taken = CommitLog::take_over::<u64, u64>(store, "cell/a", "a").await;
@@ -36,13 +36,13 @@
     while !value.is_char_boundary(at) {
         at -= 1;
     }
-    value.insert_str(at, with);
-    mem.plant(key, Some(&value));
+    value.insert_str(at, inserted);
+    mem.overwrite(key, Some(&value));
     mem
 }
 
 #[test]
-fn damaged_logs_never_panic_and_never_lie() {
+fn damaged_logs_never_panic_or_return_wrong_data() {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     let runtime = runtime.unwrap();
@@ -55,13 +55,13 @@
     ]);
     let cases = (keys, any::<prop::sample::Index>(), "[ -~]{1,4}");
     runner()
-        .run(&cases, |(key, at, with)| {
+        .run(&cases, |(key, at, inserted)| {
             let outcome = runtime.block_on(async {
-                let store = harmed(key, at, &with).await.client(2).store;
+                let store = damaged_store(key, at, &inserted).await.client(2).store;
                 CommitLog::take_over::<u64, u64>(store, "cell/a", "b").await
             });
             if let Ok((_, replay)) = outcome {
-                // Blanks between JSON tokens change nothing.
+                // The damage is harmless, such as spaces between JSON tokens.
                 prop_assert_eq!((replay.snapshot, replay.deltas), (Some(3), vec![4]));
             }
             Ok(())
@@ -78,7 +78,7 @@
         .run(&"[ -~]{0,64}", |text| {
             runtime.block_on(async {
                 let mem = MemStore::default();
-                mem.plant("config/head", Some(&text));
+                mem.overwrite("config/head", Some(&text));
                 let _ = ConfigStore::new(mem.client(1).store).read().await;
             });
             Ok(())
--- a/crates/agatesill_coord/tests/linearisable.rs
+++ b/crates/agatesill_coord/tests/linearisable.rs
@@ -1,8 +1,10 @@
-//! Randomised runs of owners and operators under seeded faults; their histories are linearisable.
+//! Randomised runs of owners and operators with seeded faults; their histories must be
+//! linearisable.
 //!
-//! A ledger's operation returns its place in the log, and a configuration's the version, so the
-//! order is given and the checker only has to compare it with real time: whatever had ended before
-//! something else began stands before it, each place is taken once, and what was answered is there.
+//! An operation on a ledger returns its position in the log, and one on a configuration returns the
+//! version. The order is therefore known, and the checker only compares it with real time: an
+//! operation that ended before another one started precedes it, each position is taken once, and
+//! every acknowledged operation is present.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -20,15 +22,15 @@
 use tokio::time::Instant;
 
 const SEEDS: u64 = 50;
-const BROKEN_SEEDS: u64 = 20;
+const UNFENCED_SEEDS: u64 = 20;
 const OWNERS: u64 = 3;
 const TTL: Duration = Duration::from_secs(2);
-const RUN: Duration = Duration::from_secs(60);
+const RUN_DURATION: Duration = Duration::from_secs(60);
 
-/// One finished operation: what it took and the place in the order that it was answered with.
+/// A completed operation: its value, its start and end, and the position that it returned.
 #[derive(Clone, Debug)]
 struct Done {
-    began: Instant,
+    started: Instant,
     ended: Instant,
     value: String,
     place: u64,
@@ -38,28 +40,31 @@
 
 type History = Arc<Mutex<Vec<Done>>>;
 
-/// The first thing that no linear order explains.
-fn contradiction(history: &[Done]) -> Option<String> {
+/// The first violation of linearisability in `history`.
+fn find_violation(history: &[Done]) -> Option<String> {
     let mut by_start: Vec<&Done> = history.iter().collect();
-    by_start.sort_by_key(|one| one.began);
+    by_start.sort_by_key(|operation| operation.started);
     let mut by_end = by_start.clone();
-    by_end.sort_by_key(|one| one.ended);
+    by_end.sort_by_key(|operation| operation.ended);
     let mut ended = by_end.into_iter().peekable();
     let mut newest: Option<&Done> = None;
-    for one in by_start {
-        while let Some(before) = ended.next_if(|before| before.ended < one.began) {
+    for operation in by_start {
+        while let Some(before) = ended.next_if(|before| before.ended < operation.started) {
             if newest.is_none_or(|newest| before.place > newest.place) {
                 newest = Some(before);
             }
         }
         let Some(before) = newest else { continue };
-        let is_behind =
-            if one.is_write { one.place <= before.place } else { one.place < before.place };
+        let is_behind = if operation.is_write {
+            operation.place <= before.place
+        } else {
+            operation.place < before.place
+        };
         if is_behind {
-            return Some(format!("{one:?} began after {before:?} had ended"));
+            return Some(format!("{operation:?} started after {before:?} had ended"));
         }
-        if one.epoch < before.epoch {
-            return Some(format!("{one:?} is of an earlier epoch than {before:?}"));
+        if operation.epoch < before.epoch {
+            return Some(format!("{operation:?} has an earlier epoch than {before:?}"));
         }
     }
     None
@@ -77,19 +82,19 @@
     }
 }
 
-/// Changes each client's faults every few seconds.
-async fn disturb(clients: &[Client], seed: u64) {
+/// Changes the faults of a random client every few seconds.
+async fn inject_faults(clients: &[Client], seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xfa17);
     loop {
         tokio::time::sleep(Duration::from_millis(rng.random_range(500..4_000))).await;
         let at = rng.random_range(0..clients.len());
-        clients[at].set(faults(&mut rng));
+        clients[at].set_faults(faults(&mut rng));
     }
 }
 
-/// An owner that claims the cell, takes the log over, commits and is now and then paused for three
-/// leases between looking at its lease and writing.
-async fn own(store: Store, name: String, seed: u64, history: History, is_broken: bool) {
+/// An owner that claims the cell, takes over the log and commits. It is occasionally paused for
+/// three lease durations between the check of its lease and a write.
+async fn run_owner(store: Store, name: String, seed: u64, history: History, without_fencing: bool) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut ownership = Ownership::new(store.clone(), &name, TTL);
     let mut nth = 0;
@@ -102,8 +107,8 @@
         let taken =
             CommitLog::take_over::<Vec<String>, String>(store.clone(), "cell/a", &name).await;
         let Ok((mut log, replay)) = taken else { continue };
-        if is_broken {
-            log.break_fence();
+        if without_fencing {
+            log.disable_fencing();
         }
         let mut state = replay.snapshot.unwrap_or_default();
         state.extend(replay.deltas);
@@ -118,7 +123,7 @@
             }
             nth += 1;
             let value = format!("{name}-{nth}");
-            let began = Instant::now();
+            let started = Instant::now();
             let mut outcome = log.append(std::slice::from_ref(&value)).await;
             for _ in 0..20 {
                 if !log.is_pending() {
@@ -131,7 +136,7 @@
             }
             state.push(value.clone());
             history.lock().unwrap().push(Done {
-                began,
+                started,
                 ended: Instant::now(),
                 value,
                 place: state.len() as u64,
@@ -147,21 +152,21 @@
     }
 }
 
-/// Runs the owners; the violation found, if any, and the number of operations.
-async fn run_owners(seed: u64, is_broken: bool) -> (Option<String>, usize) {
+/// Runs the owners; returns the first violation, if any, and the number of operations.
+async fn run_owners(seed: u64, without_fencing: bool) -> (Option<String>, usize) {
     let mem = MemStore::default();
     let clients: Vec<Client> = (0..OWNERS).map(|nth| mem.client(seed * 10 + nth)).collect();
     let history = History::default();
     let owners = futures::future::join_all(clients.iter().zip(0..).map(|(client, nth)| {
         let store = client.store.clone().with_rate_limit(2_000).with_seed(seed * 10 + nth);
-        own(store, format!("owner-{nth}"), seed * 100 + nth, history.clone(), is_broken)
+        run_owner(store, format!("owner-{nth}"), seed * 100 + nth, history.clone(), without_fencing)
     }));
     tokio::select! {
-        () = tokio::time::sleep(RUN) => {}
-        () = disturb(&clients, seed) => {}
+        () = tokio::time::sleep(RUN_DURATION) => {}
+        () = inject_faults(&clients, seed) => {}
         _ = owners => {}
     }
-    // Calls that were on their way may still land.
+    // Delayed calls may still take effect.
     tokio::time::sleep(Duration::from_secs(30)).await;
     let history = history.lock().unwrap().clone();
     let last = CommitLog::take_over::<Vec<String>, String>(mem.client(0).store, "cell/a", "last");
@@ -173,13 +178,14 @@
     ledger.extend(replay.deltas);
     let missing = history
         .iter()
-        .find(|one| ledger.get(one.place as usize - 1) != Some(&one.value))
-        .map(|one| format!("{one:?} is not in the ledger"));
-    (missing.or_else(|| contradiction(&history)), history.len())
+        .find(|operation| ledger.get(operation.place as usize - 1) != Some(&operation.value))
+        .map(|operation| format!("{operation:?} is not in the ledger"));
+    (missing.or_else(|| find_violation(&history)), history.len())
 }
 
-/// Three owners, each paused, cut off, answered late or not at all, with leases that lapse early.
-/// Whatever any of them was told is committed must stand, once, in an order that time explains.
+/// Three owners are paused, disconnected, answered late or not at all, and their leases end early.
+/// Every record that was reported as committed must be in the log exactly once, in an order that is
+/// consistent with real time.
 #[tokio::test(start_paused = true)]
 async fn ledgers_are_linearisable() {
     let mut operations = 0;
@@ -192,23 +198,24 @@
     assert!(operations > 2_000, "only {operations} operations over all seeds");
 }
 
-/// The same with the fence off: a run that would not notice proves nothing.
+/// With fencing disabled, at least one of the runs must find a violation. This shows that the test
+/// above detects a missing fence.
 #[tokio::test(start_paused = true)]
-async fn a_missing_fence_is_noticed() {
-    for seed in 1..BROKEN_SEEDS {
+async fn missing_fence_is_detected() {
+    for seed in 1..UNFENCED_SEEDS {
         if let (Some(violation), _) = run_owners(seed, true).await {
             println!("seed {seed}: {violation}");
             return;
         }
     }
-    panic!("no violation in {BROKEN_SEEDS} seeds without the fence");
+    panic!("no violation in {UNFENCED_SEEDS} seeds without the fence");
 }
 
-async fn operate(config: ConfigStore, name: String, seed: u64, history: History) {
+async fn run_operator(config: ConfigStore, name: String, seed: u64, history: History) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     for nth in 0.. {
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..200))).await;
-        let began = Instant::now();
+        let started = Instant::now();
         let is_write = rng.random_range(0..3) == 0;
         let value = format!("{name}-{nth}");
         let outcome = if is_write {
@@ -223,21 +230,21 @@
                 teams: [(name.clone(), Some(team))].into(),
                 evacuations: Default::default(),
             };
-            config.change(&change, 0).await.map(|made| {
-                let entry = made.history.iter().find(|entry| entry.operation_id == value);
+            config.change(&change, 0).await.map(|updated| {
+                let entry = updated.history.iter().find(|entry| entry.operation_id == value);
                 entry.map_or(0, |entry| entry.version)
             })
         } else {
-            config.read().await.map(|read| read.version)
+            config.read().await.map(|config| config.version)
         };
         let Ok(place) = outcome else { continue };
         let ended = Instant::now();
-        history.lock().unwrap().push(Done { began, ended, value, place, epoch: 0, is_write });
+        history.lock().unwrap().push(Done { started, ended, value, place, epoch: 0, is_write });
     }
 }
 
-/// Operators change and read through three daemons under the same faults. A version once seen is
-/// never unseen, and an accepted change keeps its version.
+/// Operators change and read the configuration through three daemons with the same faults. A reader
+/// must never see an older version than before, and an accepted change must keep its version.
 #[tokio::test(start_paused = true)]
 async fn configurations_are_linearisable() {
     let mut operations = 0;
@@ -248,24 +255,24 @@
         let operators = futures::future::join_all(clients.iter().zip(0..).map(|(client, nth)| {
             let store = client.store.clone().with_rate_limit(2_000).with_seed(seed * 10 + nth);
             let config = ConfigStore::new(store);
-            operate(config, format!("operator-{nth}"), seed * 100 + nth, history.clone())
+            run_operator(config, format!("operator-{nth}"), seed * 100 + nth, history.clone())
         }));
         tokio::select! {
-            () = tokio::time::sleep(RUN / 2) => {}
-            () = disturb(&clients, seed) => {}
+            () = tokio::time::sleep(RUN_DURATION / 2) => {}
+            () = inject_faults(&clients, seed) => {}
             _ = operators => {}
         }
         tokio::time::sleep(Duration::from_secs(30)).await;
         let history = history.lock().unwrap().clone();
-        assert_eq!(contradiction(&history), None, "seed {seed}");
-        let kept = ConfigStore::new(mem.client(0).store).history().await.unwrap();
-        for one in history.iter().filter(|one| one.is_write) {
-            let found = kept.iter().filter(|entry| entry.operation_id == one.value);
+        assert_eq!(find_violation(&history), None, "seed {seed}");
+        let retained = ConfigStore::new(mem.client(0).store).history().await.unwrap();
+        for operation in history.iter().filter(|operation| operation.is_write) {
+            let found = retained.iter().filter(|entry| entry.operation_id == operation.value);
             let versions: Vec<u64> = found.map(|entry| entry.version).collect();
-            assert_eq!(versions, [one.place], "seed {seed}: {one:?}");
+            assert_eq!(versions, [operation.place], "seed {seed}: {operation:?}");
         }
         operations += history.len();
     }
-    println!("{operations} changes and readings over {SEEDS} seeds");
+    println!("{operations} changes and reads over {SEEDS} seeds");
     assert!(operations > 2_000, "only {operations} operations over all seeds");
 }
--- a/crates/agatesill_coord/tests/peer_calls.rs
+++ b/crates/agatesill_coord/tests/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls between two daemons over one loopback connection.
+//! Tests of the calls between two daemons, over a loopback connection.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use tokio_util::codec::Framed;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn hello() -> Hello {
     Hello {
@@ -23,40 +23,44 @@
     }
 }
 
-/// A peer that has version 7 in force.
+/// Starts a peer whose active configuration has version 7.
 async fn peer() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(async move {
-                let mut link = Framed::new(stream, FrameCodec::for_stranger());
-                let Some(Ok(Frame { body: Some(Body::Hello(hello)) })) = link.next().await else {
+                let mut connection = Framed::new(stream, FrameCodec::for_stranger());
+                let Some(Ok(Frame { body: Some(Body::Hello(hello)) })) = connection.next().await
+                else {
                     return;
                 };
                 assert!(hello.for_calls);
-                link.codec_mut().trust();
+                connection.codec_mut().trust();
                 let push = ConfigPush { version: 7, json: "x".repeat(100_000) };
-                serve_peer_calls(link, move |have| (have < 7).then(|| push.clone())).await;
+                serve_peer_calls(connection, move |have_version| {
+                    (have_version < 7).then(|| push.clone())
+                })
+                .await;
             });
         }
     });
     addr
 }
 
-/// A daemon born in an outage of the store asks a peer. It must get the newest version whole, and
-/// nothing when it already has it.
+/// A daemon that starts during an outage of the store fetches the configuration from a peer. It
+/// must receive the complete newest version, or none if it already has that version.
 #[tokio::test]
-async fn the_newest_configuration_is_fetched() {
+async fn newest_configuration_is_fetched_from_a_peer() {
     let addr = peer().await;
-    let fetched = fetch_config(addr, hello(), 3, LIMIT).await.unwrap().unwrap();
+    let fetched = fetch_config(addr, hello(), 3, TIMEOUT).await.unwrap().unwrap();
     assert_eq!((fetched.version, fetched.json.len()), (7, 100_000));
-    assert_eq!(fetch_config(addr, hello(), 7, LIMIT).await.unwrap(), None);
+    assert_eq!(fetch_config(addr, hello(), 7, TIMEOUT).await.unwrap(), None);
 }
 
-/// The peer is paused: it takes the connection and never answers. The caller hears in time.
+/// A paused peer accepts the connection and never answers. The call must fail at its timeout.
 #[tokio::test]
-async fn a_paused_peer_is_given_up() {
+async fn call_to_a_paused_peer_times_out() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let addr = listener.local_addr().unwrap();
     let error = fetch_config(addr, hello(), 0, Duration::from_millis(50)).await.unwrap_err();
--- a/crates/agatesill_coord/tests/store_client.rs
+++ b/crates/agatesill_coord/tests/store_client.rs
@@ -1,4 +1,4 @@
-//! The store client against a service that is down, slow, lossy or behind.
+//! Tests of the store client with a service that is unavailable, slow, lossy or stale.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -14,15 +14,15 @@
 use support::{Faults, MemStore};
 use tokio::time::Instant;
 
-/// The service is down for a minute while 40 callers each try again at once after every failure.
-/// It returns and would meet all of them in the same moment. The client must let few calls
-/// through while it fails and keep to its budget afterwards.
+/// The service is unavailable for a minute while 40 callers retry immediately after every failure.
+/// When it recovers, all of them would call it at once. The client must let few calls through
+/// during the outage and keep to its rate limit afterwards.
 #[tokio::test(start_paused = true)]
-async fn outage_ends_without_a_storm() {
+async fn outage_ends_without_a_retry_storm() {
     let mem = MemStore::default();
     let client = mem.client(1);
     let store = client.store.clone().with_rate_limit(50);
-    client.set(Faults { outage: true, delay_ms: 5, ..Faults::default() });
+    client.set_faults(Faults { outage: true, delay_ms: 5, ..Faults::default() });
     for _ in 0..40 {
         let store = store.clone();
         tokio::spawn(async move {
@@ -34,24 +34,28 @@
     tokio::time::sleep(Duration::from_secs(60)).await;
     let sent = store.counts().reads.load(Ordering::Relaxed);
     assert!(sent < 200, "{sent} calls in an outage of 60 s");
-    client.set(Faults { delay_ms: 5, ..Faults::default() });
+    client.set_faults(Faults { delay_ms: 5, ..Faults::default() });
     tokio::time::sleep(Duration::from_secs(10)).await;
     let after = store.counts().reads.load(Ordering::Relaxed) - sent;
-    assert!((100..=50 * 12).contains(&after), "{after} calls in 10 s at a budget of 50 a second");
+    assert!(
+        (100..=50 * 12).contains(&after),
+        "{after} calls in 10 s at a rate limit of 50 per second"
+    );
 }
 
-/// The service returns after a minute, and another daemon sees that first. Its word shortens the pause here:
-/// without it this daemon would try again up to a second later, and be taken for cut off meanwhile.
+/// The service recovers after a minute, and another daemon detects this first. Its report shortens
+/// the back-off of this daemon, which would otherwise retry up to a second later and count as
+/// disconnected in the meantime.
 #[tokio::test(start_paused = true)]
-async fn word_of_the_service_being_back_shortens_the_pause() {
+async fn reported_recovery_shortens_the_backoff() {
     let client = MemStore::default().client(1);
     let store = client.store.clone();
-    client.set(Faults { outage: true, ..Faults::default() });
-    let until = Instant::now() + Duration::from_secs(60);
-    while Instant::now() < until {
+    client.set_faults(Faults { outage: true, ..Faults::default() });
+    let outage_end = Instant::now() + Duration::from_secs(60);
+    while Instant::now() < outage_end {
         assert!(store.get("config/head").await.is_err());
     }
-    client.set(Faults::default());
+    client.set_faults(Faults::default());
     store.retry_soon();
     let asked = Instant::now();
     assert!(store.get("config/head").await.is_ok());
@@ -59,10 +63,10 @@
     assert!(!store.is_unavailable());
 }
 
-/// A burst of reads uses the budget up just when a lease has to be renewed. Were the renewal to
-/// queue behind them, the daemon would lose its cells to its own statistics.
+/// A burst of reads exhausts the rate limit when a lease has to be renewed. If the renewal queued
+/// behind the reads, the daemon would lose its cells because of its own reads.
 #[tokio::test(start_paused = true)]
-async fn renewal_goes_before_a_burst_of_reads() {
+async fn renewal_has_priority_over_a_burst_of_reads() {
     let client = MemStore::default().client(1);
     let store = client.store.clone().with_rate_limit(10);
     let lease_id = store.call(StoreCall::Grant { ttl_ms: 5_000 }).await.unwrap().lease_id;
@@ -76,29 +80,29 @@
     assert!(started.elapsed() < Duration::from_millis(50), "{:?}", started.elapsed());
 }
 
-/// A replica lags and answers a read with what stood there before this process's own write. An
-/// operator would see an accepted change vanish; the client must not return such an answer.
+/// A lagging replica answers a read with the value from before this process's own write. An
+/// operator would see an accepted change disappear; the client must not return such an answer.
 #[tokio::test(start_paused = true)]
 async fn stale_reads_are_not_returned() {
     let mem = MemStore::default();
     let client = mem.client(1);
     client.store.cas("config/head", 0, "old".to_owned(), 0).await.unwrap();
-    mem.remember_as_stale();
+    mem.capture_stale_state();
     let found = client.store.get("config/head").await.unwrap().unwrap();
     client.store.cas("config/head", found.version, "new".to_owned(), 0).await.unwrap();
-    client.set(Faults { stale_reads: true, ..Faults::default() });
+    client.set_faults(Faults { stale_reads: true, ..Faults::default() });
     let error = client.store.get("config/head").await.unwrap_err();
     assert_eq!(error.kind, ErrorKind::StoreUnavailable);
-    client.set(Faults::default());
+    client.set_faults(Faults::default());
     assert_eq!(client.store.get("config/head").await.unwrap().unwrap().value, "new");
 }
 
-/// Answers take ten seconds. A caller must hear within its deadline, and callers beyond the queue
-/// at once, so that nothing piles up behind a slow service.
+/// The service does not answer in time. Calls must fail within their timeout, and calls beyond the
+/// queue immediately, so that callers do not accumulate behind a slow service.
 #[tokio::test(start_paused = true)]
-async fn slow_service_keeps_deadlines_and_a_bounded_queue() {
+async fn slow_service_does_not_exceed_timeouts_or_the_queue() {
     let client = MemStore::default().client(1);
-    client.set(Faults { lost_calls_percent: 100, ..Faults::default() });
+    client.set_faults(Faults { lost_calls_percent: 100, ..Faults::default() });
     let started = Instant::now();
     let calls = (0..1_000).map(|_| client.store.get("config/head"));
     let outcomes = futures::future::join_all(calls).await;
@@ -109,9 +113,10 @@
     assert!(counts.unsent.load(Ordering::Relaxed) >= 700);
 }
 
-/// Guards against a watch whose answers hold only a part of the changes and are all taken for stale.
+/// The replies of a watch may contain only the first of many changes. They must not be rejected as
+/// stale because other calls have returned a higher revision.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_lags_behind_other_calls_is_answered() {
+async fn watch_that_lags_behind_other_calls_is_not_stale() {
     let store = Store::with_transport(Arc::new(|call, _| {
         Box::pin(async move {
             let revision = match call {
--- a/crates/agatesill_coord/tests/support/mod.rs
+++ b/crates/agatesill_coord/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A store in memory with seeded faults, on the runtime's clock.
+//! In-memory store with seeded faults, driven by the runtime's clock.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -14,78 +14,79 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What can go wrong between one client and the store.
+/// Faults injected between one client and the store.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Every call fails without effect.
     pub outage: bool,
-    /// Longest delay before a call takes effect.
+    /// Maximum delay before a call takes effect.
     pub delay_ms: u64,
-    /// Calls that never arrive, in percent.
+    /// Share of calls that never arrive, in percent.
     pub lost_calls_percent: u32,
-    /// Calls that take effect and whose answer is lost, in percent.
+    /// Share of calls that take effect but whose answer is lost, in percent.
     pub lost_answers_percent: u32,
-    /// Calls given up by the client that take effect some seconds later, in percent.
+    /// Share of calls that take effect seconds after the client timed out, in percent.
     pub late_calls_percent: u32,
-    /// Reads answered from this many revisions ago at most.
+    /// Whether reads are answered from the state captured by [`MemStore::capture_stale_state`].
     pub stale_reads: bool,
-    /// Share of a lease after which it ends, in percent; 0 means all of it.
+    /// Share of its time to live after which a lease ends, in percent; 0 means 100.
     pub lease_percent: u32,
 }
 
-/// Entries with their leases, by key.
+/// Entries with the ids of their leases, by key.
 type Entries = BTreeMap<String, (Entry, u64)>;
 
 #[derive(Default)]
 struct State {
     revision: u64,
     entries: Entries,
+    /// Time to live and end of each lease, by id.
     leases: BTreeMap<u64, (Duration, Instant)>,
     writes: u64,
     reads: u64,
-    old: Option<(u64, Entries)>,
+    stale: Option<(u64, Entries)>,
 }
 
-/// The store; clones share one state.
+/// An in-memory store; clones share one state.
 #[derive(Clone, Default)]
 pub struct MemStore {
     state: Arc<Mutex<State>>,
     changed: Arc<Notify>,
 }
 
-/// One client's view: its store and its faults.
+/// A client of the store, with the faults of its connection.
 pub struct Client {
     pub store: Store,
     pub faults: Arc<Mutex<Faults>>,
 }
 
 impl Client {
-    pub fn set(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         *self.faults.lock().unwrap() = faults;
     }
 }
 
 impl MemStore {
-    /// A client with faults drawn from `seed`.
+    /// A client whose faults are drawn from `seed`.
     pub fn client(&self, seed: u64) -> Client {
         let faults: Arc<Mutex<Faults>> = Arc::default();
         let rng = Arc::new(Mutex::new(Pcg64Mcg::seed_from_u64(seed)));
         let (mem, shared) = (self.clone(), faults.clone());
-        let store = Store::with_transport(Arc::new(move |call, limit| {
+        let store = Store::with_transport(Arc::new(move |call, timeout| {
             let (mem, rng, faults) = (mem.clone(), rng.clone(), shared.lock().unwrap().clone());
-            Box::pin(async move { mem.exchange(call, limit, &faults, &rng).await })
+            Box::pin(async move { mem.handle_call(call, timeout, &faults, &rng).await })
         }));
         Client { store, faults }
     }
 
-    async fn exchange(
+    async fn handle_call(
         &self,
         call: StoreCall,
-        limit: Duration,
+        timeout: Duration,
         faults: &Faults,
         rng: &Mutex<Pcg64Mcg>,
     ) -> Result<StoreReply, Error> {
-        let (delay_ms, fate, late_ms) = {
+        let (delay_ms, fault_roll, late_ms) = {
             let mut rng = rng.lock().unwrap();
             (
                 rng.random_range(0..=faults.delay_ms),
@@ -93,7 +94,7 @@
                 rng.random_range(1_000..10_000),
             )
         };
-        let failed = |what: &str| Err(Error::new(ErrorKind::Unreachable, what));
+        let failed = |detail: &str| Err(Error::new(ErrorKind::Unreachable, detail));
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         if faults.outage {
             return failed("outage");
@@ -102,42 +103,42 @@
             return self.watch(prefix, *after_revision, *wait_ms).await;
         }
         let lost = faults.lost_calls_percent;
-        let unanswered = lost + faults.lost_answers_percent;
-        if fate < lost {
-            tokio::time::sleep(limit).await;
+        let unanswered_percent = lost + faults.lost_answers_percent;
+        if fault_roll < lost {
+            tokio::time::sleep(timeout).await;
             return failed("call lost");
         }
-        if fate < unanswered {
-            let _ = self.answer(call, faults);
-            tokio::time::sleep(limit).await;
+        if fault_roll < unanswered_percent {
+            let _ = self.apply(call, faults);
+            tokio::time::sleep(timeout).await;
             return failed("answer lost");
         }
-        if fate < unanswered + faults.late_calls_percent {
+        if fault_roll < unanswered_percent + faults.late_calls_percent {
             let (mem, faults) = (self.clone(), faults.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_millis(late_ms)).await;
-                let _ = mem.answer(call, &faults);
+                let _ = mem.apply(call, &faults);
             });
-            tokio::time::sleep(limit).await;
+            tokio::time::sleep(timeout).await;
             return failed("late");
         }
-        self.answer(call, faults)
+        self.apply(call, faults)
     }
 
     async fn watch(&self, prefix: &str, after: u64, wait_ms: u64) -> Result<StoreReply, Error> {
-        let until = Instant::now() + Duration::from_millis(wait_ms);
+        let deadline = Instant::now() + Duration::from_millis(wait_ms);
         loop {
             let changed = self.changed.notified();
             {
                 let mut state = self.state.lock().unwrap();
-                state.end_leases();
+                state.expire_leases();
                 let entries: Vec<Entry> = state
                     .entries
                     .values()
                     .map(|(entry, _)| entry.clone())
                     .filter(|entry| entry.key.starts_with(prefix) && entry.version > after)
                     .collect();
-                if !entries.is_empty() || Instant::now() >= until {
+                if !entries.is_empty() || Instant::now() >= deadline {
                     let applied = !entries.is_empty();
                     return Ok(StoreReply {
                         revision: state.revision,
@@ -148,18 +149,18 @@
                     });
                 }
             }
-            let _ = tokio::time::timeout_at(until, changed).await;
+            let _ = tokio::time::timeout_at(deadline, changed).await;
         }
     }
 
-    /// Every key with its value, for looking without a client.
+    /// All keys with their values, read without a client.
     pub fn dump(&self) -> BTreeMap<String, String> {
         let state = self.state.lock().unwrap();
         state.entries.iter().map(|(key, (entry, _))| (key.clone(), entry.value.clone())).collect()
     }
 
-    /// Puts a value there behind everybody's back.
-    pub fn plant(&self, key: &str, value: Option<&str>) {
+    /// Sets or deletes a key without a client.
+    pub fn overwrite(&self, key: &str, value: Option<&str>) {
         let mut state = self.state.lock().unwrap();
         state.revision += 1;
         let version = state.revision;
@@ -174,21 +175,21 @@
         }
     }
 
-    /// Keeps what stands there now for stale reads.
-    pub fn remember_as_stale(&self) {
+    /// Captures the current state for [`Faults::stale_reads`].
+    pub fn capture_stale_state(&self) {
         let mut state = self.state.lock().unwrap();
-        state.old = Some((state.revision, state.entries.clone()));
+        state.stale = Some((state.revision, state.entries.clone()));
     }
 
-    /// Writes and reads answered so far.
+    /// Number of writes and reads answered so far.
     pub fn calls(&self) -> (u64, u64) {
         let state = self.state.lock().unwrap();
         (state.writes, state.reads)
     }
 
-    fn answer(&self, call: StoreCall, faults: &Faults) -> Result<StoreReply, Error> {
+    fn apply(&self, call: StoreCall, faults: &Faults) -> Result<StoreReply, Error> {
         let mut state = self.state.lock().unwrap();
-        let reply = state.answer(call, faults)?;
+        let reply = state.apply(call, faults)?;
         if reply.applied {
             self.changed.notify_waiters();
         }
@@ -197,8 +198,8 @@
 }
 
 impl State {
-    fn answer(&mut self, call: StoreCall, faults: &Faults) -> Result<StoreReply, Error> {
-        self.end_leases();
+    fn apply(&mut self, call: StoreCall, faults: &Faults) -> Result<StoreReply, Error> {
+        self.expire_leases();
         if matches!(call, StoreCall::Range { .. } | StoreCall::Page { .. }) {
             self.reads += 1;
         } else {
@@ -214,10 +215,10 @@
             StoreCall::Grant { ttl_ms } => self.grant(Duration::from_millis(ttl_ms), faults),
             StoreCall::Renew { lease_id } => self.renew(lease_id, faults),
             StoreCall::Revoke { lease_id } => {
-                self.end_lease(lease_id);
+                self.remove_lease(lease_id);
                 StoreReply { applied: true, ..self.reply() }
             }
-            StoreCall::Watch { .. } => unreachable!("answered before"),
+            StoreCall::Watch { .. } => unreachable!("watches are handled in handle_call"),
         })
     }
 
@@ -230,8 +231,8 @@
     }
 
     fn range(&self, prefix: &str, faults: &Faults) -> StoreReply {
-        let (revision, entries) = match &self.old {
-            Some((revision, old)) if faults.stale_reads => (*revision, old),
+        let (revision, entries) = match &self.stale {
+            Some((revision, stale)) if faults.stale_reads => (*revision, stale),
             _ => (self.revision, &self.entries),
         };
         let entries = entries
@@ -242,7 +243,7 @@
         StoreReply { revision, entries, ..StoreReply::default() }
     }
 
-    /// Pages of two, so that every test that reads pages reads several.
+    /// Pages have two entries, so that every test that reads pages reads several.
     fn page(&self, prefix: &str, after: &str) -> StoreReply {
         let mut rest = self
             .entries
@@ -261,8 +262,8 @@
         value: Option<String>,
         lease_id: u64,
     ) -> StoreReply {
-        let lease_gone = lease_id != 0 && !self.leases.contains_key(&lease_id);
-        if self.version(&key) != expect_version || lease_gone {
+        let lease_expired = lease_id != 0 && !self.leases.contains_key(&lease_id);
+        if self.version(&key) != expect_version || lease_expired {
             let found = self.entries.get(&key).map(|(entry, _)| entry.clone());
             return StoreReply { entries: found.into_iter().collect(), ..self.reply() };
         }
@@ -298,32 +299,32 @@
     fn grant(&mut self, ttl: Duration, faults: &Faults) -> StoreReply {
         self.revision += 1;
         self.leases.insert(self.revision, (ttl, Instant::now() + granted(ttl, faults)));
-        // The reply has the revision from before, as the lease changes no key.
+        // A lease changes no key, so the reply has the previous revision.
         let revision = self.revision - 1;
         StoreReply { revision, applied: true, lease_id: self.revision, ..StoreReply::default() }
     }
 
     fn renew(&mut self, lease_id: u64, faults: &Faults) -> StoreReply {
         let reply = self.reply();
-        let Some((ttl, ends)) = self.leases.get_mut(&lease_id) else { return reply };
-        *ends = Instant::now() + granted(*ttl, faults);
+        let Some((ttl, end)) = self.leases.get_mut(&lease_id) else { return reply };
+        *end = Instant::now() + granted(*ttl, faults);
         StoreReply { applied: true, lease_id, ..reply }
     }
 
-    fn end_leases(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> =
+        let expired: Vec<u64> =
             self.leases.iter().filter(|(_, lease)| lease.1 <= now).map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|id| self.end_lease(id));
+        expired.into_iter().for_each(|id| self.remove_lease(id));
     }
 
-    fn end_lease(&mut self, lease_id: u64) {
+    fn remove_lease(&mut self, lease_id: u64) {
         self.leases.remove(&lease_id);
         self.entries.retain(|_, (_, lease)| *lease != lease_id);
     }
 }
 
-/// How long a lease really lasts: less, if leases end before their time.
+/// Actual time to live of a lease; shorter when [`Faults::lease_percent`] is set.
 fn granted(ttl: Duration, faults: &Faults) -> Duration {
     match faults.lease_percent {
         0 => ttl,
