--- a/crates/agatesill_policy/src/fleet/advice.rs
+++ b/crates/agatesill_policy/src/fleet/advice.rs
@@ -7,7 +7,7 @@
 
 use super::US_PER_MS;
 use super::job::TaskKey;
-use super::state::{Fleet, Group};
+use super::state::{Fleet, TaskGroup};
 use super::worker::WorkerIndex;
 
 /// Workers named in one call.
@@ -38,13 +38,18 @@
 
 impl Fleet {
     /// The ticket with which a worker starts tasks of a step now.
-    pub(super) fn ticket(&self, group: Group, worker: WorkerIndex, now_us: u64) -> Option<&str> {
+    pub(super) fn ticket(
+        &self,
+        group: TaskGroup,
+        worker: WorkerIndex,
+        now_us: u64,
+    ) -> Option<&str> {
         let (ticket, until_us) = self.advice.get(&group)?.tickets.get(&worker)?;
         (now_us < *until_us).then_some(ticket.as_str())
     }
 
     /// The workers that were given a ticket for a step, in the order of the ledger.
-    pub(super) fn with_tickets(&self, group: Group) -> Vec<WorkerIndex> {
+    pub(super) fn with_tickets(&self, group: TaskGroup) -> Vec<WorkerIndex> {
         let known = self.advice.get(&group);
         let mut workers: Vec<WorkerIndex> =
             known.into_iter().flat_map(|known| known.tickets.keys().copied()).collect();
@@ -53,9 +58,9 @@
     }
 
     /// Asks about workers for a step, unless an answer is still to come.
-    pub(super) fn ask_advice(&mut self, group: Group, service: &str, now_us: u64) {
+    pub(super) fn ask_advice(&mut self, group: TaskGroup, service: &str, now_us: u64) {
         let Some(job) = self.job(group.job) else { return };
-        let charge = job.spec.steps[group.step as usize].charge();
+        let charge = job.spec.steps[group.step as usize].allocation();
         let step = job.key(job.first_of(group.occurrence, group.step));
         let known = self.advice.entry(group).or_default();
         if known.waiting_since_us > 0 && now_us - known.waiting_since_us < ANSWER_LIMIT_US {
@@ -71,7 +76,7 @@
             .filter(|(_, worker)| {
                 worker.is_open(now_us)
                     && worker.entry.service == service
-                    && worker.has_room(&charge)
+                    && worker.has_capacity_for(&charge)
             })
             .map(|(index, _)| index as WorkerIndex)
             .filter(is_worth_asking)
@@ -107,7 +112,8 @@
         now_us: u64,
     ) {
         let Some(job) = self.by_id.get(&question.step.job).copied() else { return };
-        let group = Group { job, occurrence: question.step.occurrence, step: question.step.step };
+        let group =
+            TaskGroup { job, occurrence: question.step.occurrence, step: question.step.step };
         let Some(known) = self.advice.get_mut(&group) else { return };
         known.waiting_since_us = 0;
         let asked = question.workers.iter().filter_map(|id| self.worker_by_id.get(id));
--- a/crates/agatesill_policy/src/fleet/ages.rs
+++ b/crates/agatesill_policy/src/fleet/ages.rs
@@ -28,10 +28,10 @@
     /// Gives a job that was read back, and what waits of it, the ages that they had.
     pub(super) fn restore_ages(&mut self, slot: u32, record: Option<&ProgressRecord>, now_us: u64) {
         let Some(job) = self.job(slot).filter(|job| job.phase == JobPhase::Active) else { return };
-        let begun_us = self.moment_us(job.spec.accepted_at_ms, now_us);
+        let accepted_us = self.moment_us(job.spec.accepted_at_ms, now_us);
         let recorded = |at_ms: u64| (at_ms > 0).then(|| self.moment_us(at_ms, now_us));
-        let turn_us = record.and_then(|record| recorded(record.turn_ms)).unwrap_or(begun_us);
-        let mut since_us = vec![turn_us; job.tasks.len()];
+        let runnable_us = record.and_then(|record| recorded(record.turn_ms)).unwrap_or(accepted_us);
+        let mut since_us = vec![runnable_us; job.tasks.len()];
         for task in record.into_iter().flat_map(|record| &record.tasks) {
             if let Some(since) = since_us.get_mut(task.task as usize) {
                 let runs = !task.worker.is_empty();
@@ -40,8 +40,8 @@
         }
         let is_timed = job.spec.occurrences > 0;
         let Some(job) = self.job_mut(slot) else { return };
-        job.begun_us = begun_us;
-        job.turn_us = turn_us;
+        job.accepted_us = accepted_us;
+        job.runnable_us = runnable_us;
         if is_timed {
             return;
         }
--- a/crates/agatesill_policy/src/fleet/answers.rs
+++ b/crates/agatesill_policy/src/fleet/answers.rs
@@ -112,10 +112,10 @@
         if matches!(self.task_state(order.at), TaskState::Stopping(_)) {
             return;
         }
-        self.mark(order.at.job, now_us);
+        self.mark_dirty(order.at.job, now_us);
         if may_begin_later {
             self.set_state(order.at, TaskState::Stopping(order.worker), now_us);
-            self.order(order.at, order.worker, OrderKind::Stop, now_us);
+            self.push_order(order.at, order.worker, OrderKind::Stop, now_us);
             return;
         }
         self.release(order.at, TaskState::Waiting, now_us);
@@ -146,7 +146,7 @@
             (OrderKind::Start { .. }, TaskState::Ordered(worker)) if gives_up => {
                 task.unanswered = 0;
                 self.set_state(order.at, TaskState::Stopping(worker), now_us);
-                self.order(order.at, worker, OrderKind::Stop, now_us);
+                self.push_order(order.at, worker, OrderKind::Stop, now_us);
             }
             (OrderKind::Start { .. }, TaskState::Ordered(_))
             | (OrderKind::Stop, TaskState::Stopping(_)) => self.orders.push(order.clone()),
--- a/crates/agatesill_policy/src/fleet/rooms.rs
+++ b/crates/agatesill_policy/src/fleet/capacity_index.rs
@@ -43,16 +43,16 @@
 
 /// The workers that answer, are registered and stay, by service and room.
 #[derive(Debug, Default)]
-pub(super) struct Rooms {
+pub(super) struct CapacityIndex {
     numbers: BTreeMap<String, usize>,
     services: Vec<ServiceRooms>,
     places: Vec<Option<Place>>,
 }
 
-impl Rooms {
+impl CapacityIndex {
     /// Takes in a worker as it is now; called after every change of its room, tails or standing.
     pub fn update(&mut self, index: WorkerIndex, worker: &Worker) {
-        let place = worker.is_there().then(|| self.place_of(worker));
+        let place = worker.is_available().then(|| self.place_of(worker));
         if self.places.len() <= index as usize {
             self.places.resize(index as usize + 1, None);
         }
@@ -117,20 +117,20 @@
     /// Workers with room for `charge`, those with the fewest free processors first, from where the
     /// last search gave up. Workers that lack memory or accelerators are skipped, since they could
     /// otherwise make up all of the [`MOST_EXAMINED`].
-    pub fn tightest(&self, service: &str, charge: &Resources) -> Vec<WorkerIndex> {
+    pub fn tightest_fit(&self, service: &str, charge: &Resources) -> Vec<WorkerIndex> {
         let Some(service) = self.service(service) else { return Vec::new() };
-        let has_room = |index: &WorkerIndex| self.has_room(*index, charge);
+        let has_capacity_for = |index: &WorkerIndex| self.has_capacity_for(*index, charge);
         let scanned = service.workers_to_scan(charge).take(MOST_SCANNED).map(|(_, index)| *index);
-        scanned.filter(has_room).take(MOST_EXAMINED).collect()
+        scanned.filter(has_capacity_for).take(MOST_EXAMINED).collect()
     }
 
-    fn has_room(&self, index: WorkerIndex, charge: &Resources) -> bool {
+    fn has_capacity_for(&self, index: WorkerIndex, charge: &Resources) -> bool {
         self.places[index as usize].is_some_and(|place| place.free.holds(charge))
     }
 
     /// Notes that no worker was found for a task with this charge: the next search goes on after
     /// those that were scanned, and begins anew after the last.
-    pub fn found_no_room(&mut self, service: &str, charge: &Resources) {
+    pub fn record_no_capacity(&mut self, service: &str, charge: &Resources) {
         let Some(number) = self.numbers.get(service) else { return };
         let service = &mut self.services[*number];
         let next = service.workers_to_scan(charge).nth(MOST_SCANNED).copied();
@@ -150,7 +150,7 @@
     ///
     /// Guards against an image that harms what serves on the emptiest workers: they stay the
     /// emptiest, and a search that always began with them would never see another.
-    pub fn found_none(&mut self, service: &str, image: ImageId, examined: &[WorkerIndex]) {
+    pub fn record_no_match(&mut self, service: &str, image: ImageId, examined: &[WorkerIndex]) {
         let Some(number) = self.numbers.get(service) else { return };
         let last = examined.last().filter(|_| examined.len() == MOST_EXAMINED);
         let place = last.and_then(|index| Some((*index, self.places[*index as usize]?.crowding?)));
@@ -162,7 +162,7 @@
     }
 
     /// Workers with a label. Where most have it, the tightest among them.
-    pub fn labelled(&self, service: &str, label: &str, charge: &Resources) -> Vec<WorkerIndex> {
+    pub fn with_label(&self, service: &str, label: &str, charge: &Resources) -> Vec<WorkerIndex> {
         let Some(service) = self.service(service) else { return Vec::new() };
         let Some(labelled) = service.by_label.get(label) else { return Vec::new() };
         if labelled.len() <= RARE_LABEL {
@@ -170,7 +170,7 @@
         }
         let by_free = service.by_free.range((charge.cpu_milli, 0)..).map(|(_, index)| *index);
         by_free
-            .filter(|index| labelled.contains(index) && self.has_room(*index, charge))
+            .filter(|index| labelled.contains(index) && self.has_capacity_for(*index, charge))
             .take(MOST_EXAMINED)
             .collect()
     }
--- a/crates/agatesill_policy/src/fleet/colocation/balance.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/balance.rs
@@ -158,8 +158,8 @@
         let worker = &self.workers[index as usize];
         log::debug!(event = "beside", worker = worker.entry.id.as_str(),
             capacity_milli = worker.entry.capacity.cpu_milli,
-            used_milli = worker.used.cpu_milli, lasting_milli = worker.lasting_cpu_milli,
-            filling_milli = worker.filling_cpu_milli,
+            used_milli = worker.used.cpu_milli, lasting_milli = worker.long_running_cpu_milli,
+            filling_milli = worker.best_effort_cpu_milli,
             tails = tails.join(" ").as_str(), filling = beside.join(" ").as_str(); "");
     }
 
@@ -307,6 +307,6 @@
             (_, since_us) => since_us,
         };
         self.counts.paced += 1;
-        self.order(at, index, OrderKind::Pace { percent }, now_us);
+        self.push_order(at, index, OrderKind::Pace { percent }, now_us);
     }
 }
--- a/crates/agatesill_policy/src/fleet/colocation/room.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/room.rs
@@ -48,7 +48,7 @@
 /// Processors that tasks that fill may use on a worker with lasting tasks at their present load.
 pub(super) fn cores_for_filling(worker: &Worker) -> f64 {
     let capacity = worker.entry.capacity.cpu_milli as f64;
-    let lasting = worker.lasting_cpu_milli as f64;
+    let lasting = worker.long_running_cpu_milli as f64;
     let plain = worker.used.cpu_milli as f64 - lasting;
     let most = FULL_AT_LOW_TAIL - (worker.mean_tail - LOW_TAIL) * LESS_FOR_TAIL;
     (capacity * most - plain - lasting * USED_SHARE) / 1_000.0
@@ -58,11 +58,11 @@
 /// tasks; infinite where no more may come.
 fn crowding(worker: &Worker, more_milli: u64) -> f64 {
     let capacity = worker.entry.capacity.cpu_milli as f64;
-    let wanted = (worker.filling_cpu_milli + more_milli) as f64;
-    let lasting = worker.lasting_cpu_milli as f64;
+    let wanted = (worker.best_effort_cpu_milli + more_milli) as f64;
+    let lasting = worker.long_running_cpu_milli as f64;
     let plain = worker.used.cpu_milli as f64 - lasting;
     let crowding = wanted / (capacity - plain - lasting * USED_SHARE).max(1.0);
-    if crowding > MOST_CROWDED && worker.filling_cpu_milli > 0 {
+    if crowding > MOST_CROWDED && worker.best_effort_cpu_milli > 0 {
         return f64::INFINITY;
     }
     if worker.lasting == 0 {
--- a/crates/agatesill_policy/src/fleet/crashes.rs
+++ b/crates/agatesill_policy/src/fleet/crashes.rs
@@ -93,7 +93,7 @@
         for at in tasks {
             let is_suspect = self.is_suspect(at);
             self.counts.lost += 1;
-            self.mark(at.job, now_us);
+            self.mark_dirty(at.job, now_us);
             self.release(at, TaskState::Waiting, now_us);
             if is_suspect {
                 self.count_crash(at, is_attributable, is_unexplained);
@@ -106,9 +106,13 @@
     /// Records the last answer of a worker that went silent, for correlation with other failures.
     pub(super) fn record_silence(&mut self, index: WorkerIndex, now_us: u64) {
         let answered_us = self.workers[index as usize].answered_us;
-        self.silences_us.push_back(answered_us);
-        while self.silences_us.front().is_some_and(|at_us| at_us + SILENCE_RETENTION_US < now_us) {
-            self.silences_us.pop_front();
+        self.lost_contacts_us.push_back(answered_us);
+        while self
+            .lost_contacts_us
+            .front()
+            .is_some_and(|at_us| at_us + SILENCE_RETENTION_US < now_us)
+        {
+            self.lost_contacts_us.pop_front();
         }
     }
 
@@ -127,7 +131,7 @@
             job.tasks[at.task as usize].is_past_probation = true;
         }
         if was_suspect {
-            self.mark(at.job, now_us);
+            self.mark_dirty(at.job, now_us);
         }
     }
 
@@ -162,7 +166,7 @@
             |at_us: &&u64| at_us.abs_diff(worker.answered_us) <= CORRELATION_WINDOW_US;
         worker.answered_us == 0
             || worker.entry.is_leaving
-            || self.silences_us.iter().filter(is_correlated).take(CORRELATED_WORKERS).count()
+            || self.lost_contacts_us.iter().filter(is_correlated).take(CORRELATED_WORKERS).count()
                 == CORRELATED_WORKERS
     }
 
--- a/crates/agatesill_policy/src/fleet/ends.rs
+++ b/crates/agatesill_policy/src/fleet/ends.rs
@@ -45,7 +45,7 @@
         worker.answered_us = now_us;
         worker.clock_offset_ms = poll.clock_ms as i64 - (now_us / US_PER_MS) as i64;
         self.worker_changed(index);
-        self.lease_asked(index, poll.sent_us);
+        self.lease_requested(index, poll.sent_us);
         for end in &poll.ended {
             self.run_ended(index, end, now_us);
         }
@@ -69,7 +69,7 @@
 
     /// Notes that a call asked a worker for a lease at `sent_us`. It may have arrived, answered or
     /// not.
-    pub fn lease_asked(&mut self, index: WorkerIndex, sent_us: u64) {
+    pub fn lease_requested(&mut self, index: WorkerIndex, sent_us: u64) {
         let until_us = sent_us + self.lease_us();
         let worker = &mut self.workers[index as usize];
         worker.lease_until_us = worker.lease_until_us.max(until_us);
@@ -108,7 +108,7 @@
     }
 
     /// Workers whose incarnation has ended since this was last asked.
-    pub fn take_gone(&mut self) -> Vec<WorkerIndex> {
+    pub fn take_terminated(&mut self) -> Vec<WorkerIndex> {
         std::mem::take(&mut self.gone)
     }
 
@@ -170,7 +170,7 @@
         };
         let changed = self.apply_end(index, at, end, now_us);
         if changed {
-            self.mark(at.job, now_us);
+            self.mark_dirty(at.job, now_us);
         }
         self.note_end(index, end.number, Some(at.job));
     }
@@ -280,7 +280,7 @@
             self.release(at, TaskState::Done, now_us);
             self.counts.done += 1;
             if let Some(job) = self.jobs[at.job as usize].as_mut() {
-                let left = job.left_index(occurrence, step);
+                let left = job.step_position(occurrence, step);
                 job.left[left] -= 1;
                 job.left_total -= 1;
             }
@@ -288,7 +288,7 @@
         let Some(job) = self.job(at.job) else { return };
         if job.left_total == 0 {
             self.finish(at.job, JobPhase::Completed, now_us);
-        } else if job.left[job.left_index(occurrence, step)] == 0 {
+        } else if job.left[job.step_position(occurrence, step)] == 0 {
             self.open_round(at.job, occurrence, now_us);
         }
     }
@@ -441,7 +441,7 @@
         for at in absent {
             log::info!(event = "run_absent", job = self.job_id(at.job), task = at.task,
                 worker = self.workers[index as usize].entry.id.as_str(); "it is started again");
-            self.mark(at.job, now_us);
+            self.mark_dirty(at.job, now_us);
             self.release(at, TaskState::Waiting, now_us);
         }
         self.give_up_starts(index, present, now_us);
--- a/crates/agatesill_policy/src/fleet/job.rs
+++ b/crates/agatesill_policy/src/fleet/job.rs
@@ -80,7 +80,7 @@
 
 impl Step {
     /// What a worker's capacity is charged for one task: work that fills reserves no processors.
-    pub fn charge(&self) -> Resources {
+    pub fn allocation(&self) -> Resources {
         let cpu_milli = if self.fills { 0 } else { self.need.cpu_milli };
         Resources { cpu_milli, ..self.need }
     }
@@ -139,7 +139,7 @@
     }
 
     /// Tasks of one occurrence.
-    pub fn tasks_a_round(&self) -> u32 {
+    pub fn tasks_per_occurrence(&self) -> u32 {
         self.steps.iter().map(|step| step.count).sum()
     }
 
@@ -364,15 +364,15 @@
     /// When the job reached its final phase.
     pub ended_us: u64,
     /// When it was accepted.
-    pub begun_us: u64,
+    pub accepted_us: u64,
     /// When the turn of its newest step came.
-    pub turn_us: u64,
+    pub runnable_us: u64,
 }
 
 impl Job {
     /// A job without progress.
     pub fn new(spec: JobSpec, now_us: u64) -> Self {
-        let a_round = spec.tasks_a_round();
+        let a_round = spec.tasks_per_occurrence();
         let total = a_round * spec.rounds();
         let left: Vec<u32> =
             (0..spec.rounds()).flat_map(|_| spec.steps.iter().map(|s| s.count)).collect();
@@ -391,15 +391,15 @@
             is_started: false,
             unacked_at: Vec::new(),
             ended_us: 0,
-            begun_us: now_us,
-            turn_us: now_us,
+            accepted_us: now_us,
+            runnable_us: now_us,
             spec,
         }
     }
 
     /// Occurrence and step of a task, and its index within the step.
     pub fn locate(&self, task: u32) -> (u32, u32, u32) {
-        let a_round = self.spec.tasks_a_round().max(1);
+        let a_round = self.spec.tasks_per_occurrence().max(1);
         let mut rest = task % a_round;
         for (index, step) in self.spec.steps.iter().enumerate() {
             if rest < step.count {
@@ -423,7 +423,7 @@
     /// Place of the first task of a step.
     pub fn first_of(&self, occurrence: u32, step: u32) -> u32 {
         let before: u32 = self.spec.steps[..step as usize].iter().map(|step| step.count).sum();
-        occurrence * self.spec.tasks_a_round() + before
+        occurrence * self.spec.tasks_per_occurrence() + before
     }
 
     /// Places of all tasks of a step.
@@ -446,7 +446,7 @@
     }
 
     /// Place of an occurrence's step in [`Job::left`].
-    pub fn left_index(&self, occurrence: u32, step: u32) -> usize {
+    pub fn step_position(&self, occurrence: u32, step: u32) -> usize {
         occurrence as usize * self.spec.steps.len() + step as usize
     }
 
@@ -455,7 +455,7 @@
         self.spec.steps[step as usize]
             .after
             .iter()
-            .all(|after| self.left[self.left_index(occurrence, *after)] == 0)
+            .all(|after| self.left[self.step_position(occurrence, *after)] == 0)
     }
 
     /// Marks the job as changed.
--- a/crates/agatesill_policy/src/fleet/longest_wait.rs
+++ b/crates/agatesill_policy/src/fleet/longest_wait.rs
@@ -4,7 +4,7 @@
 
 use super::US_PER_MS;
 use super::job::{JobId, JobPhase, Step, TaskRef, TaskState};
-use super::state::{Fleet, Group};
+use super::state::{Fleet, TaskGroup};
 use super::usage::TaskKind;
 use super::worker::{Worker, WorkerIndex, WorkerStanding};
 
@@ -139,7 +139,7 @@
 
     /// The task of each kind that has been without a run for longest among those that wait.
     pub fn longest_waits(&self, now_us: u64) -> Vec<LongestWait> {
-        [TaskKind::Lasting, TaskKind::Plain, TaskKind::Filling]
+        [TaskKind::LongRunning, TaskKind::Plain, TaskKind::BestEffort]
             .into_iter()
             .filter_map(|kind| self.longest_wait(kind, now_us))
             .collect()
@@ -153,7 +153,7 @@
             .max_by_key(|(_, _, waited_us)| *waited_us)?;
         let job = self.job(group.job)?;
         let step = &job.spec.steps[group.step as usize];
-        let charge = step.charge();
+        let charge = step.allocation();
         let mut wait = LongestWait {
             kind,
             job: job.spec.id.clone(),
@@ -180,10 +180,10 @@
 
     fn longest_of_group(
         &self,
-        group: Group,
+        group: TaskGroup,
         kind: TaskKind,
         now_us: u64,
-    ) -> Option<(Group, u32, u64)> {
+    ) -> Option<(TaskGroup, u32, u64)> {
         let job = self.job(group.job).filter(|job| job.phase == JobPhase::Active)?;
         if TaskKind::of(&job.spec.steps[group.step as usize]) != kind {
             return None;
@@ -194,7 +194,7 @@
             .max_by_key(|(_, _, waited_us)| *waited_us)
     }
 
-    fn deferral(&self, group: Group, task: u32, now_us: u64) -> Deferral {
+    fn deferral(&self, group: TaskGroup, task: u32, now_us: u64) -> Deferral {
         let Some(job) = self.job(group.job) else { return Deferral::None };
         let is_lasting = job.spec.steps[group.step as usize].is_lasting;
         if job.tasks[task as usize].is_backing_off(now_us) {
@@ -214,9 +214,9 @@
 impl LongestWait {
     fn add_worker(&mut self, worker: &Worker, step: &Step, now_us: u64) {
         let is_open = worker.is_open(now_us);
-        if worker.has_room(&step.charge()) {
+        if worker.has_capacity_for(&step.allocation()) {
             let fitting = &mut self.fitting;
-            let count = match (worker.is_there(), is_open) {
+            let count = match (worker.is_available(), is_open) {
                 (false, _) => &mut fitting.unavailable,
                 (true, false) => &mut fitting.closed,
                 (true, true) => &mut fitting.open,
--- a/crates/agatesill_policy/src/fleet/place.rs
+++ b/crates/agatesill_policy/src/fleet/place.rs
@@ -10,7 +10,7 @@
 
 use super::images::ImageId;
 use super::job::Step;
-use super::state::{Fleet, Group};
+use super::state::{Fleet, TaskGroup};
 use super::worker::{Worker, WorkerIndex};
 
 /// A task that needs a worker.
@@ -25,7 +25,7 @@
     /// Tasks of the same step and occurrence on each worker.
     pub beside: &'a HashMap<WorkerIndex, u32>,
     /// The step, if only workers with a ticket may run it.
-    pub advised: Option<Group>,
+    pub advised: Option<TaskGroup>,
     /// Whether a worker that is closed for failing is better than none.
     pub takes_closed: bool,
     /// Whether the task is to be placed apart from other suspects.
@@ -116,9 +116,9 @@
             }
         }
         if request.step.fills {
-            self.rooms.found_none(request.service, request.image, &search.candidates);
+            self.capacity_index.record_no_match(request.service, request.image, &search.candidates);
         } else if search.candidates.is_empty() && request.step.label.is_empty() {
-            self.rooms.found_no_room(request.service, &request.step.charge());
+            self.capacity_index.record_no_capacity(request.service, &request.step.allocation());
         }
         None
     }
@@ -127,8 +127,8 @@
     fn weigh(&self, request: &Request<'_>, index: WorkerIndex, now_us: u64) -> Option<Score> {
         let worker = &self.workers[index as usize];
         let is_open = worker.is_open(now_us);
-        let may_take = (is_open || (request.takes_closed && worker.is_there()))
-            && worker.has_room(&request.step.charge())
+        let may_take = (is_open || (request.takes_closed && worker.is_available()))
+            && worker.has_capacity_for(&request.step.allocation())
             && !(request.awaits_separation && worker.isolated_tasks > 0)
             && may_run(request, index, worker)
             && request.advised.is_none_or(|group| self.ticket(group, index, now_us).is_some());
@@ -150,19 +150,19 @@
         if let Some(group) = request.advised {
             return self.with_tickets(group);
         }
-        let charge = step.charge();
+        let charge = step.allocation();
         if !step.label.is_empty() {
-            return self.rooms.labelled(service, &step.label, &charge);
+            return self.capacity_index.with_label(service, &step.label, &charge);
         }
         let mut candidates = Vec::new();
         let data_rack = Some(&step.data_rack).filter(|rack| !rack.is_empty());
         for rack in data_rack.into_iter().chain(request.chosen_racks.last()) {
-            candidates.extend(self.rooms.labelled(service, rack, &charge));
+            candidates.extend(self.capacity_index.with_label(service, rack, &charge));
         }
         candidates.extend(if step.fills {
-            self.rooms.least_crowded(service, request.image)
+            self.capacity_index.least_crowded(service, request.image)
         } else {
-            self.rooms.tightest(service, &charge)
+            self.capacity_index.tightest_fit(service, &charge)
         });
         candidates
     }
--- a/crates/agatesill_policy/src/fleet/plan.rs
+++ b/crates/agatesill_policy/src/fleet/plan.rs
@@ -8,7 +8,7 @@
 use super::images::ImageId;
 use super::job::{JobPhase, Step, TaskRef, TaskState};
 use super::place::{Request, Search};
-use super::state::{Fleet, Group};
+use super::state::{Fleet, TaskGroup};
 use super::usage::TaskKind;
 use super::worker::WorkerIndex;
 
@@ -38,7 +38,7 @@
     step: &'a Step,
     image: ImageId,
     service: &'a str,
-    advised: Option<Group>,
+    advised: Option<TaskGroup>,
     takes_closed: bool,
 }
 
@@ -61,7 +61,7 @@
         self.preempt_for_urgent(&left, now_us);
     }
 
-    fn place_group(&mut self, group: Group, misfits: &mut Vec<Misfit>, now_us: u64) {
+    fn place_group(&mut self, group: TaskGroup, misfits: &mut Vec<Misfit>, now_us: u64) {
         let Some(job) = self.job(group.job) else {
             self.waiting.remove(&group);
             return;
@@ -97,7 +97,7 @@
         let waits_us =
             tasks.iter().map(|t| job.tasks[*t as usize].idle_us(now_us)).max().unwrap_or(0);
         let takes_closed = step.is_lasting && waits_us > LASTING_WAIT_US;
-        let charge = step.charge();
+        let charge = step.allocation();
         let image = job.images[group.step as usize];
         let fills = step.fills.then_some(image);
         let is_hopeless = |misfit: &Misfit| {
@@ -134,7 +134,7 @@
     /// Places the tasks of one step; returns how many found a worker. Of a gang, all or none.
     fn place_tasks(
         &mut self,
-        group: Group,
+        group: TaskGroup,
         setting: &Setting<'_>,
         tasks: &[u32],
         now_us: u64,
@@ -176,7 +176,7 @@
             } else if !is_isolated {
                 search = Some(examined);
             }
-            self.charge(at, worker, TaskState::Chosen(worker));
+            self.allocate(at, worker, TaskState::Chosen(worker));
             chosen.push(at);
         }
         if chosen.len() < tasks.len() && setting.step.is_gang {
@@ -190,7 +190,7 @@
     }
 
     /// Gives each chosen task its next run number; the members of a gang share one.
-    fn number_runs(&mut self, group: Group, chosen: &[TaskRef], is_gang: bool, now_us: u64) {
+    fn number_runs(&mut self, group: TaskGroup, chosen: &[TaskRef], is_gang: bool, now_us: u64) {
         self.mark_urgent(group.job, now_us);
         let Some(job) = self.jobs[group.job as usize].as_mut() else { return };
         let version = job.version;
@@ -208,7 +208,7 @@
         self.log_choices(group, chosen, waited_ms);
     }
 
-    fn log_choices(&self, group: Group, chosen: &[TaskRef], waited_ms: u64) {
+    fn log_choices(&self, group: TaskGroup, chosen: &[TaskRef], waited_ms: u64) {
         let Some(job) = self.job(group.job) else { return };
         let step = &job.spec.steps[group.step as usize];
         for at in chosen {
@@ -221,13 +221,14 @@
                 waited_ms = waited_ms,
                 without_run_ms = task.idle_us(task.since_us) / US_PER_MS,
                 failed_starts = task.failed_starts,
-                used_cpu_milli = worker.used.cpu_milli, filling_milli = worker.filling_cpu_milli,
+                used_cpu_milli = worker.used.cpu_milli,
+                filling_milli = worker.best_effort_cpu_milli,
                 used_memory_mb = worker.used.memory_mb, lasting = worker.lasting,
                 answer_age_ms = task.since_us.saturating_sub(worker.answered_us) / 1_000; "");
         }
     }
 
-    fn members_by_worker(&self, group: Group) -> HashMap<WorkerIndex, u32> {
+    fn members_by_worker(&self, group: TaskGroup) -> HashMap<WorkerIndex, u32> {
         let mut members = HashMap::new();
         if let Some(job) = self.job(group.job) {
             job.tasks_of(group.occurrence, group.step)
--- a/crates/agatesill_policy/src/fleet/preempt.rs
+++ b/crates/agatesill_policy/src/fleet/preempt.rs
@@ -14,8 +14,8 @@
 
 use super::US_PER_MS;
 use super::job::{Job, Step, Task, TaskRef, TaskState};
-use super::order::IN_TIME;
-use super::state::{Fleet, Group};
+use super::ranking::IN_TIME_DENSITY;
+use super::state::{Fleet, TaskGroup};
 use super::usage::TaskKind;
 use super::worker::WorkerIndex;
 
@@ -67,10 +67,10 @@
 
 impl Fleet {
     /// Stops lasting tasks where urgent steps that can still be in time wait for reserved room.
-    pub(super) fn preempt_for_urgent(&mut self, waiting: &[(Group, f64)], now_us: u64) {
+    pub(super) fn preempt_for_urgent(&mut self, waiting: &[(TaskGroup, f64)], now_us: u64) {
         let wanted_milli: u64 = waiting
             .iter()
-            .filter(|(_, density)| *density >= IN_TIME)
+            .filter(|(_, density)| *density >= IN_TIME_DENSITY)
             .map(|(group, _)| self.wanted_milli(*group, now_us))
             .sum();
         if wanted_milli == 0 || now_us.saturating_sub(self.preemption.weighed_us) < ROUND_US {
@@ -109,7 +109,7 @@
     }
 
     /// Whether all waiting tasks of a lasting step still leave the room that they gave up to others.
-    pub(super) fn is_held_back(&self, group: Group, now_us: u64) -> bool {
+    pub(super) fn is_held_back(&self, group: TaskGroup, now_us: u64) -> bool {
         let Some(job) = self.job(group.job) else { return false };
         let is_held = |task: &Task| task.preempted && task.idle_us(now_us) < HOLD_US;
         self.misses_little(job, group)
@@ -121,13 +121,13 @@
     }
 
     /// Whether a lasting step misses no more tasks than it may, so that it can wait for urgent ones.
-    pub(super) fn misses_little(&self, job: &Job, group: Group) -> bool {
+    pub(super) fn misses_little(&self, job: &Job, group: TaskGroup) -> bool {
         let allowance = allowance(&job.spec.steps[group.step as usize]);
         allowance > 0 && away(job, group) <= allowance
     }
 
     /// Processors for which the tasks of a plain step have waited in vain.
-    fn wanted_milli(&self, group: Group, now_us: u64) -> u64 {
+    fn wanted_milli(&self, group: TaskGroup, now_us: u64) -> u64 {
         let Some(job) = self.job(group.job) else { return 0 };
         let step = &job.spec.steps[group.step as usize];
         if TaskKind::of(step) != TaskKind::Plain || step.is_gang || !step.label.is_empty() {
@@ -178,7 +178,7 @@
         let Some(job) = self.job(at.job) else { return false };
         let (occurrence, step, _) = job.locate(at.task);
         let task = &job.tasks[at.task as usize];
-        let group = Group { job: at.job, occurrence, step };
+        let group = TaskGroup { job: at.job, occurrence, step };
         let allowance = allowance(&job.spec.steps[step as usize]);
         job.spec.steps[step as usize].is_lasting
             && is_at_work(job, at.task)
@@ -195,7 +195,7 @@
 }
 
 /// Tasks of a lasting step that are not at work.
-fn away(job: &Job, group: Group) -> u32 {
+fn away(job: &Job, group: TaskGroup) -> u32 {
     job.tasks_of(group.occurrence, group.step).filter(|task| !is_at_work(job, *task)).count() as u32
 }
 
--- a/crates/agatesill_policy/src/fleet/order.rs
+++ b/crates/agatesill_policy/src/fleet/ranking.rs
@@ -11,11 +11,11 @@
 
 use super::US_PER_MS;
 use super::job::{Job, JobPhase, TaskState};
-use super::state::{Fleet, Group};
+use super::state::{Fleet, TaskGroup};
 
 /// Density from which a step counts as in time. A whole job in time has 0.7 and more, a late one a
 /// seventh of that; a late job passes it only when less than half of its work is left.
-pub(super) const IN_TIME: f64 = 0.35;
+pub(super) const IN_TIME_DENSITY: f64 = 0.35;
 
 /// Worth of a late job, as a share of one in time.
 const LATE_SHARE: f64 = 0.15;
@@ -50,7 +50,7 @@
     /// Worth for each core-second that is left, highest first.
     pub density: f64,
     /// The group.
-    pub group: Group,
+    pub group: TaskGroup,
 }
 
 impl Fleet {
@@ -68,14 +68,14 @@
         ranked
     }
 
-    fn rank(&self, group: Group, now_us: u64, now_ms: u64) -> Option<Ranked> {
+    fn rank(&self, group: TaskGroup, now_us: u64, now_ms: u64) -> Option<Ranked> {
         let job = self.job(group.job).filter(|job| job.phase == JobPhase::Active)?;
         let terms = self.terms(job);
         let density = if job.spec.steps[group.step as usize].is_lasting {
             let misses_little = self.misses_little(job, group);
             let yields_us = if misses_little { PREEMPTED_YIELDS_US } else { LASTING_YIELDS_US };
             let may_wait = waited_us(job, group, now_us) < yields_us;
-            if may_wait { IN_TIME } else { f64::INFINITY }
+            if may_wait { IN_TIME_DENSITY } else { f64::INFINITY }
         } else {
             let mean = self.mean_work.get(&job.spec.queue).copied().unwrap_or(1.0);
             let spent_ms = spent_ms(job, group.occurrence, now_us, now_ms);
@@ -95,7 +95,7 @@
 }
 
 /// Longest wait among the tasks of a step.
-fn waited_us(job: &Job, group: Group, now_us: u64) -> u64 {
+fn waited_us(job: &Job, group: TaskGroup, now_us: u64) -> u64 {
     job.tasks_of(group.occurrence, group.step)
         .map(|task| &job.tasks[task as usize])
         .filter(|task| task.state == TaskState::Waiting)
@@ -107,7 +107,7 @@
 /// Time since an occurrence was due by the time of day, or since its job was accepted.
 fn spent_ms(job: &Job, occurrence: u32, now_us: u64, now_ms: u64) -> f64 {
     let spent_ms = match job.spec.due_ms(occurrence) {
-        0 => now_us.saturating_sub(job.begun_us) / US_PER_MS,
+        0 => now_us.saturating_sub(job.accepted_us) / US_PER_MS,
         due_ms => now_ms.saturating_sub(due_ms.max(job.spec.accepted_at_ms)),
     };
     spent_ms as f64
@@ -137,12 +137,12 @@
         .iter()
         .enumerate()
         .map(|(index, step)| {
-            f64::from(job.left[job.left_index(occurrence, index as u32)]) * work_of(step)
+            f64::from(job.left[job.step_position(occurrence, index as u32)]) * work_of(step)
         })
         .sum();
     let worth = FIXED_SHARE * mean_work + (1.0 - FIXED_SHARE) * total;
     let objective_ms = stretch * chain_ms(job, |_| true) + target_ms as f64;
-    let is_left = |step: usize| job.left[job.left_index(occurrence, step as u32)] > 0;
+    let is_left = |step: usize| job.left[job.step_position(occurrence, step as u32)] > 0;
     let end_ms = spent_ms + chain_ms(job, is_left);
     let share = if end_ms <= objective_ms {
         1.0
--- a/crates/agatesill_policy/src/fleet/record.rs
+++ b/crates/agatesill_policy/src/fleet/record.rs
@@ -109,7 +109,7 @@
             })
             .collect();
         let is_started = job.tasks.iter().any(|task| task.run > 0);
-        let turn_ms = if is_final { 0 } else { wall_ms(job.turn_us) };
+        let turn_ms = if is_final { 0 } else { wall_ms(job.runnable_us) };
         Self { phase: job.phase, is_started, turn_ms, tasks }
     }
 }
--- a/crates/agatesill_policy/src/fleet/registry.rs
+++ b/crates/agatesill_policy/src/fleet/registry.rs
@@ -14,7 +14,7 @@
             self.revive(index, &entry);
             let worker = &mut self.workers[index as usize];
             if worker.entry.service != entry.service || worker.entry.labels != entry.labels {
-                self.rooms.withdraw(index, worker);
+                self.capacity_index.withdraw(index, worker);
             }
             // What was known from records alone gets its address now.
             let has_new_address =
@@ -132,7 +132,7 @@
     }
 
     /// The workers that the registry is known to list.
-    pub fn listed(&self) -> Vec<String> {
+    pub fn listed_workers(&self) -> Vec<String> {
         self.workers
             .iter()
             .filter(|worker| worker.is_listed && worker.standing != WorkerStanding::Gone)
--- a/crates/agatesill_policy/src/fleet/slow.rs
+++ b/crates/agatesill_policy/src/fleet/slow.rs
@@ -124,7 +124,7 @@
     fn compare(&mut self, index: WorkerIndex, at: TaskRef, speed: f64) {
         let Some(job) = self.job_mut(at.job) else { return };
         let (occurrence, step, _) = job.locate(at.task);
-        let place = job.left_index(occurrence, step);
+        let place = job.step_position(occurrence, step);
         let mean = job.speeds[place].mean();
         job.speeds[place].add(speed);
         let Some(mean) = mean else { return };
@@ -186,7 +186,7 @@
             return false;
         };
         let (occurrence, step, _) = job.locate(at.task);
-        let (step, place) = (&job.spec.steps[step as usize], job.left_index(occurrence, step));
+        let (step, place) = (&job.spec.steps[step as usize], job.step_position(occurrence, step));
         let task = &job.tasks[at.task as usize];
         let ran_us = now_us.saturating_sub(task.measured_us);
         let Some(mean) = job.speeds[place].mean().filter(|_| ran_us >= LEAST_RUN_US) else {
--- a/crates/agatesill_policy/src/fleet/state.rs
+++ b/crates/agatesill_policy/src/fleet/state.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
 use super::advice::{Advice, AdviceQuestion};
+use super::capacity_index::CapacityIndex;
 use super::colocation::{PairCounts, Pressure};
 use super::effort::{Effort, EffortCounter};
 use super::images::Images;
 use super::job::{Job, JobId, JobPhase, JobSpec, QueueTerms, TaskRef, TaskState};
 use super::orders::{Order, OrderKind};
 use super::preempt::Preemption;
-use super::rooms::Rooms;
 use super::worker::{Worker, WorkerIndex, WorkerStanding};
 use super::zones::ClosedZones;
 use super::{FleetBounds, US_PER_MS};
@@ -25,7 +25,7 @@
 
 /// Waiting tasks of one step of one occurrence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct Group {
+pub(super) struct TaskGroup {
     pub job: u32,
     pub occurrence: u32,
     pub step: u32,
@@ -73,7 +73,7 @@
     pub(super) closed_zones: ClosedZones,
     /// The time of day less the time of this ledger.
     pub(super) wall_offset_ms: i64,
-    pub(super) waiting: BTreeSet<Group>,
+    pub(super) waiting: BTreeSet<TaskGroup>,
     pub(super) due: BTreeMap<u64, Vec<(u32, u32)>>,
     /// Jobs whose record is to be written, and since when.
     pub(super) dirty: BTreeMap<u32, u64>,
@@ -85,7 +85,7 @@
     /// Workers whose incarnation has ended and whose lines are still open.
     pub(super) gone: Vec<WorkerIndex>,
     /// Times of the last answers of workers that recently went silent.
-    pub(super) silences_us: VecDeque<u64>,
+    pub(super) lost_contacts_us: VecDeque<u64>,
     /// Workers that may forget more ends than the lines were told.
     pub(super) acked: Vec<WorkerIndex>,
     pub(super) ended_jobs: Vec<(u64, u32)>,
@@ -95,9 +95,9 @@
     pub(super) images: Images,
     pub(super) pressure: Pressure,
     pub(super) pairs: PairCounts,
-    pub(super) rooms: Rooms,
+    pub(super) capacity_index: CapacityIndex,
     pub(super) preemption: Preemption,
-    pub(super) advice: HashMap<Group, Advice>,
+    pub(super) advice: HashMap<TaskGroup, Advice>,
     pub(super) questions: Vec<AdviceQuestion>,
     pub(super) mean_work: HashMap<String, f64>,
     pub(super) counts: Counts,
@@ -123,7 +123,7 @@
             urgent: BTreeSet::new(),
             orders: Vec::new(),
             starting: 0,
-            silences_us: VecDeque::new(),
+            lost_contacts_us: VecDeque::new(),
             acked: Vec::new(),
             gone: Vec::new(),
             ended_jobs: Vec::new(),
@@ -132,7 +132,7 @@
             images: Images::default(),
             pressure: Pressure::default(),
             pairs: PairCounts::default(),
-            rooms: Rooms::default(),
+            capacity_index: CapacityIndex::default(),
             preemption: Preemption::default(),
             advice: HashMap::new(),
             questions: Vec::new(),
@@ -175,7 +175,7 @@
         }
         let was_cancelled = self.cancelled_early.remove(&spec.id);
         let mut job = Job::new(spec, now_us);
-        job.begun_us = self.moment_us(job.spec.accepted_at_ms, now_us);
+        job.accepted_us = self.moment_us(job.spec.accepted_at_ms, now_us);
         let slot = self.insert(job);
         self.open_rounds(slot, now_us);
         if was_cancelled {
@@ -228,8 +228,8 @@
             }
         }
         if is_waiting {
-            job.turn_us = now_us;
-            self.waiting.insert(Group { job: slot, occurrence, step });
+            job.runnable_us = now_us;
+            self.waiting.insert(TaskGroup { job: slot, occurrence, step });
         }
     }
 
@@ -311,10 +311,10 @@
     }
 
     /// Charges a worker for a task.
-    pub(super) fn charge(&mut self, at: TaskRef, worker: WorkerIndex, state: TaskState) {
+    pub(super) fn allocate(&mut self, at: TaskRef, worker: WorkerIndex, state: TaskState) {
         let Some(job) = self.jobs[at.job as usize].as_mut() else { return };
         let step = job.step(at.task);
-        let (need, fills, lasts) = (step.charge(), step.fills, step.is_lasting);
+        let (need, fills, lasts) = (step.allocation(), step.fills, step.is_lasting);
         let cpu = step.need.cpu_milli;
         let serves = step.target_ms > 0;
         let image = job.image(at.task);
@@ -332,11 +332,11 @@
             self.pairs.filling_came(image, &worker.serving);
         }
         worker.used = worker.used.plus(&need);
-        worker.filling_cpu_milli += if fills { cpu } else { 0 };
+        worker.best_effort_cpu_milli += if fills { cpu } else { 0 };
         worker.lasting += u32::from(lasts);
-        worker.lasting_cpu_milli += if lasts { cpu } else { 0 };
+        worker.long_running_cpu_milli += if lasts { cpu } else { 0 };
         worker.tasks.push(at);
-        self.rooms.update(index, worker);
+        self.capacity_index.update(index, worker);
     }
 
     /// Frees what a task was charged and gives it another state.
@@ -349,7 +349,7 @@
         self.preemption.freeing.remove(&at);
         if let Some(index) = before.worker() {
             let worker = &mut self.workers[index as usize];
-            worker.used = worker.used.minus(&step.charge());
+            worker.used = worker.used.minus(&step.allocation());
             let image = job.images[step_index as usize];
             let serves = step.target_ms > 0;
             if serves && worker.serving.remove(image) {
@@ -358,17 +358,17 @@
                 self.pairs.filling_left(image, &worker.serving);
             }
             if step.fills {
-                worker.filling_cpu_milli =
-                    worker.filling_cpu_milli.saturating_sub(step.need.cpu_milli);
+                worker.best_effort_cpu_milli =
+                    worker.best_effort_cpu_milli.saturating_sub(step.need.cpu_milli);
             }
             if step.is_lasting {
                 worker.lasting = worker.lasting.saturating_sub(1);
-                worker.lasting_cpu_milli =
-                    worker.lasting_cpu_milli.saturating_sub(step.need.cpu_milli);
+                worker.long_running_cpu_milli =
+                    worker.long_running_cpu_milli.saturating_sub(step.need.cpu_milli);
             }
             worker.tasks.retain(|other| *other != at);
             worker.isolated_tasks = worker.isolated_tasks.saturating_sub(u32::from(was_isolated));
-            self.rooms.update(index, worker);
+            self.capacity_index.update(index, worker);
         }
         let is_active = job.phase == JobPhase::Active;
         let state =
@@ -387,13 +387,13 @@
         task.pace_percent = 100;
         task.slowed_us = 0;
         if state == TaskState::Waiting {
-            self.waiting.insert(Group { job: at.job, occurrence, step: step_index });
+            self.waiting.insert(TaskGroup { job: at.job, occurrence, step: step_index });
         }
     }
 
     /// Brings the order of the workers up to date after a change of one.
     pub(super) fn worker_changed(&mut self, index: WorkerIndex) {
-        self.rooms.update(index, &self.workers[index as usize]);
+        self.capacity_index.update(index, &self.workers[index as usize]);
     }
 
     /// Orders a stop; the charge stays until the worker lists the end.
@@ -404,10 +404,16 @@
             job.tasks[at.task as usize].answered_us = 0;
         }
         self.counts.stopped += 1;
-        self.order(at, worker, OrderKind::Stop, now_us);
+        self.push_order(at, worker, OrderKind::Stop, now_us);
     }
 
-    pub(super) fn order(&mut self, at: TaskRef, worker: WorkerIndex, kind: OrderKind, now_us: u64) {
+    pub(super) fn push_order(
+        &mut self,
+        at: TaskRef,
+        worker: WorkerIndex,
+        kind: OrderKind,
+        now_us: u64,
+    ) {
         let Some(job) = self.job(at.job) else { return };
         let run = job.tasks[at.task as usize].run;
         let order = Order { worker, at, task: job.key(at.task), run, kind, decided_us: now_us };
--- a/crates/agatesill_policy/src/fleet/takeover.rs
+++ b/crates/agatesill_policy/src/fleet/takeover.rs
@@ -53,7 +53,7 @@
             return;
         }
         let (occurrence, step, _) = job.locate(record.task);
-        let left = job.left_index(occurrence, step);
+        let left = job.step_position(occurrence, step);
         let phase = job.phase;
         let task = &mut job.tasks[record.task as usize];
         task.run = record.run;
@@ -69,7 +69,7 @@
         } else if !record.worker.is_empty() {
             let worker = self.known_worker(&record.worker);
             let at = TaskRef { job: slot, task: record.task };
-            self.charge(at, worker, TaskState::Ordered(worker));
+            self.allocate(at, worker, TaskState::Ordered(worker));
             if let Some(job) = self.jobs[slot as usize].as_mut() {
                 let task = &mut job.tasks[record.task as usize];
                 // Most of them run, some on workers that do not answer.
@@ -122,7 +122,7 @@
 
     /// Ends the rebuilding: what runs on silent workers may run until the longest lease that an owner before
     /// could have asked for; `orphan_ms` is how long one of them may still ask.
-    pub fn restored(&mut self, orphan_ms: u64, now_us: u64) {
+    pub fn finish_restore(&mut self, orphan_ms: u64, now_us: u64) {
         let until_us = now_us + self.lease_us() + orphan_ms * US_PER_MS;
         for worker in &mut self.workers {
             worker.lease_until_us = worker.lease_until_us.max(until_us);
--- a/crates/agatesill_policy/src/fleet/usage.rs
+++ b/crates/agatesill_policy/src/fleet/usage.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskKind {
     /// Runs until its job is cancelled, on processors reserved for it.
-    Lasting,
+    LongRunning,
     /// Runs on processors that others leave unused.
-    Filling,
+    BestEffort,
     /// Runs to its end on processors reserved for it.
     Plain,
 }
@@ -19,9 +19,9 @@
     /// The kind of a step's tasks.
     pub fn of(step: &Step) -> Self {
         if step.is_lasting {
-            TaskKind::Lasting
+            TaskKind::LongRunning
         } else if step.fills {
-            TaskKind::Filling
+            TaskKind::BestEffort
         } else {
             TaskKind::Plain
         }
@@ -30,8 +30,8 @@
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            TaskKind::Lasting => "lasting",
-            TaskKind::Filling => "filling",
+            TaskKind::LongRunning => "lasting",
+            TaskKind::BestEffort => "filling",
             TaskKind::Plain => "plain",
         }
     }
@@ -102,9 +102,9 @@
     fn add_worker(&mut self, worker: &Worker) {
         self.workers += 1;
         self.capacity_milli += worker.entry.capacity.cpu_milli;
-        self.lasting_milli += worker.lasting_cpu_milli;
+        self.lasting_milli += worker.long_running_cpu_milli;
         self.plain_milli += worker.plain_cpu_milli();
-        self.filling_milli += worker.filling_cpu_milli;
+        self.filling_milli += worker.best_effort_cpu_milli;
         self.free_memory_mb += worker.free().memory_mb;
         self.pressed_workers += u32::from(worker.worst_tail > 1.0);
     }
@@ -112,8 +112,8 @@
     fn add_waiting(&mut self, job: &Job, occurrence: u32, step_index: u32, now_us: u64) {
         let step = &job.spec.steps[step_index as usize];
         let waiting = match TaskKind::of(step) {
-            TaskKind::Lasting => &mut self.lasting,
-            TaskKind::Filling => &mut self.filling,
+            TaskKind::LongRunning => &mut self.lasting,
+            TaskKind::BestEffort => &mut self.filling,
             TaskKind::Plain => &mut self.plain,
         };
         for task in job.tasks_of(occurrence, step_index) {
--- a/crates/agatesill_policy/src/fleet/worker.rs
+++ b/crates/agatesill_policy/src/fleet/worker.rs
@@ -133,11 +133,11 @@
     /// Charged for tasks that run, may run or were chosen.
     pub used: Resources,
     /// Processors wanted by the tasks that fill there.
-    pub filling_cpu_milli: u64,
+    pub best_effort_cpu_milli: u64,
     /// Lasting tasks there.
     pub lasting: u32,
     /// Processors reserved by them.
-    pub lasting_cpu_milli: u64,
+    pub long_running_cpu_milli: u64,
     /// Serving tasks by image.
     pub(super) serving: ImageCounts,
     /// Tasks that fill, by image.
@@ -193,9 +193,9 @@
             is_listed: true,
             standing: WorkerStanding::New,
             used: Resources::default(),
-            filling_cpu_milli: 0,
+            best_effort_cpu_milli: 0,
             lasting: 0,
-            lasting_cpu_milli: 0,
+            long_running_cpu_milli: 0,
             serving: ImageCounts::default(),
             filling: ImageCounts::default(),
             worst_tail: 0.0,
@@ -223,12 +223,12 @@
 
     /// Whether new tasks may be sent there.
     pub fn is_open(&self, now_us: u64) -> bool {
-        self.is_there() && now_us >= self.closed_until_us
+        self.is_available() && now_us >= self.closed_until_us
     }
 
     /// Whether it answers, is registered, stays and lies in an open zone; it may be closed for
     /// failing what it starts.
-    pub fn is_there(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         self.standing == WorkerStanding::Good && self.is_listed && self.takes_starts()
     }
 
@@ -244,7 +244,7 @@
 
     /// Whether one more task with this charge fits its present capacity in every dimension. False while
     /// stray runs take up an unknown part of it.
-    pub fn has_room(&self, charge: &Resources) -> bool {
+    pub fn has_capacity_for(&self, charge: &Resources) -> bool {
         !self.has_stray_runs && self.entry.capacity.holds(&self.used.plus(charge))
     }
 
@@ -255,7 +255,7 @@
 
     /// Processors reserved by tasks that end by themselves.
     pub fn plain_cpu_milli(&self) -> u64 {
-        self.used.cpu_milli.saturating_sub(self.lasting_cpu_milli)
+        self.used.cpu_milli.saturating_sub(self.long_running_cpu_milli)
     }
 
     /// What is not charged.
--- a/crates/agatesill_policy/src/fleet/writes.rs
+++ b/crates/agatesill_policy/src/fleet/writes.rs
@@ -7,7 +7,7 @@
 use super::job::{Job, JobPhase, TaskRef, TaskState};
 use super::orders::{JobWrite, OrderKind};
 use super::record::ProgressRecord;
-use super::state::{Fleet, Group};
+use super::state::{Fleet, TaskGroup};
 use super::worker::{WorkerIndex, WorkerStanding};
 
 /// How long a record may wait for company. An end of a task whose step goes on is nothing that
@@ -31,7 +31,7 @@
     }
 
     /// Marks a job as changed, so that its record is written before long.
-    pub(super) fn mark(&mut self, slot: u32, now_us: u64) {
+    pub(super) fn mark_dirty(&mut self, slot: u32, now_us: u64) {
         if let Some(job) = self.jobs[slot as usize].as_mut() {
             job.touch();
             self.dirty.entry(slot).or_insert(now_us);
@@ -40,7 +40,7 @@
 
     /// The same for a change that something waits for: a start, or the end of the job.
     pub(super) fn mark_urgent(&mut self, slot: u32, now_us: u64) {
-        self.mark(slot, now_us);
+        self.mark_dirty(slot, now_us);
         self.urgent.insert(slot);
     }
 
@@ -170,9 +170,9 @@
         task.percent = 0;
         task.progress_us = now_us;
         self.counts.chosen += 1;
-        let group = Group { job: at.job, occurrence, step };
+        let group = TaskGroup { job: at.job, occurrence, step };
         let ticket = self.ticket(group, worker, now_us).unwrap_or_default().to_owned();
-        self.order(at, worker, OrderKind::Start { payload, saved, ticket }, now_us);
+        self.push_order(at, worker, OrderKind::Start { payload, saved, ticket }, now_us);
     }
 }
 
--- a/crates/agatesill_policy/src/fleet/zones.rs
+++ b/crates/agatesill_policy/src/fleet/zones.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::job::{TaskRef, TaskState};
-use super::state::{Fleet, Group};
+use super::state::{Fleet, TaskGroup};
 use super::worker::WorkerIndex;
 
 /// A zone that takes no new work, as the store holds it.
@@ -95,7 +95,7 @@
                 self.release(at, TaskState::Waiting, now_us);
             }
         }
-        self.waiting.insert(Group { job: at.job, occurrence, step });
+        self.waiting.insert(TaskGroup { job: at.job, occurrence, step });
         self.mark_urgent(at.job, now_us);
     }
 
--- a/crates/agatesill_policy/tests/fleet_advice.rs
+++ b/crates/agatesill_policy/tests/fleet_advice.rs
@@ -3,7 +3,7 @@
 mod fleet_support;
 
 use agatesill_policy::fleet::{OrderKind, OrderOutcome};
-use fleet_support::{Rig, entry, job, step};
+use fleet_support::{Harness, entry, job, step};
 
 fn advised_job(count: u32) -> agatesill_policy::fleet::JobSpec {
     let mut spec = job("j", vec![step(count)]);
@@ -15,7 +15,7 @@
 /// start is rejected and paid for.
 #[test]
 fn starts_wait_for_the_answer_and_carry_its_ticket() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     rig.fleet.accept(advised_job(2), rig.now_us);
     assert!(rig.plan().is_empty());
     let questions = rig.fleet.take_questions();
@@ -37,7 +37,7 @@
 /// same, or waited for without end, the step would never run.
 #[test]
 fn a_ticket_that_ran_out_and_a_lost_answer_are_asked_for_again() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(advised_job(1), rig.now_us);
     rig.plan();
     let lost = rig.fleet.take_questions().remove(0);
@@ -46,7 +46,7 @@
     let question = rig.fleet.take_questions().remove(0);
     let good = [("w1".to_owned(), "leave".to_owned())];
     rig.fleet.advised(&question, Some(&good), 1_000, rig.now_us);
-    rig.pass_ms(900);
+    rig.advance_ms(900);
     assert!(rig.plan().is_empty(), "too little of its time is left");
     let again = rig.fleet.take_questions().remove(0);
     rig.fleet.advised(&again, Some(&good), 1_000, rig.now_us);
--- a/crates/agatesill_policy/tests/fleet_ages.rs
+++ b/crates/agatesill_policy/tests/fleet_ages.rs
@@ -3,23 +3,23 @@
 mod fleet_support;
 
 use agatesill_policy::fleet::{EndCause, OrderOutcome, Step};
-use fleet_support::{MS, Rig, entry, job, step};
+use fleet_support::{Harness, MS, entry, job, step};
 
-fn accepted_now(rig: &Rig, id: &str, steps: Vec<Step>) -> agatesill_policy::fleet::JobSpec {
+fn accepted_now(rig: &Harness, id: &str, steps: Vec<Step>) -> agatesill_policy::fleet::JobSpec {
     agatesill_policy::fleet::JobSpec { accepted_at_ms: rig.now_us / MS, ..job(id, steps) }
 }
 
 /// Guards against a successor that counts waits from its own start.
 #[test]
 fn waits_survive_a_takeover() {
-    let mut rig = Rig::new(vec![entry("w", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w", "r1-1")]);
     let lasting = Step { is_lasting: true, ..step(16) };
     let holder = accepted_now(&rig, "holder", vec![lasting.clone()]);
     rig.fleet.accept(holder.clone(), rig.now_us);
     rig.settle();
     let unbegun = accepted_now(&rig, "unbegun", vec![step(1)]);
     rig.fleet.accept(unbegun.clone(), rig.now_us);
-    rig.pass_ms(2_000);
+    rig.advance_ms(2_000);
     let (worker, task, run) = rig.present("holder").remove(0);
     rig.end(worker, &task, run, EndCause::Failed);
     let full = Step { count: 1, ..lasting };
@@ -28,7 +28,7 @@
     rig.settle();
     rig.poll_all();
     rig.commit();
-    rig.pass_ms(3_000);
+    rig.advance_ms(3_000);
     let before = rig.fleet.usage(rig.now_us);
     let fleet = rig.successor(&[holder, unbegun, other], Vec::new());
     let after = fleet.usage(rig.now_us);
@@ -40,7 +40,7 @@
 /// Guards against a later step whose wait begins anew with each planner.
 #[test]
 fn the_turn_of_a_later_step_survives_a_takeover() {
-    let mut rig = Rig::new(vec![entry("w", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w", "r1-1")]);
     let spec = accepted_now(
         &rig,
         "j",
@@ -48,12 +48,12 @@
     );
     rig.fleet.accept(spec.clone(), rig.now_us);
     rig.settle();
-    rig.pass_ms(1_000);
+    rig.advance_ms(1_000);
     let (worker, task, run) = rig.present("j").remove(0);
     rig.end(worker, &task, run, EndCause::Done);
     rig.poll_all();
     rig.settle();
-    rig.pass_ms(4_000);
+    rig.advance_ms(4_000);
     let before = rig.fleet.usage(rig.now_us).plain.longest_ms;
     let after = rig.successor(&[spec], Vec::new()).usage(rig.now_us).plain.longest_ms;
     assert!(before.abs_diff(4_000) <= 10 && after.abs_diff(before) <= 10, "{before} {after}");
@@ -61,11 +61,11 @@
 
 /// The order in which two jobs that compete for one core start, when the clock that plans steps.
 fn order_with_step(step_ms: i64) -> String {
-    let mut rig = Rig::new(vec![entry("w", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w", "r1-1")]);
     rig.fleet.accept(accepted_now(&rig, "holder", vec![step(16)]), rig.now_us);
     rig.settle();
     rig.fleet.accept(accepted_now(&rig, "aged", vec![step(1)]), rig.now_us);
-    rig.pass_ms(1_500);
+    rig.advance_ms(1_500);
     let stepped_ms = (rig.now_us / MS) as i64 + step_ms;
     rig.fleet.accept(accepted_now(&rig, "fresh", vec![step(1)]), rig.now_us);
     let (worker, task, run) = rig.present("holder").remove(0);
@@ -90,7 +90,7 @@
 #[test]
 fn a_step_of_the_accepting_daemons_clock_ages_a_job_by_no_more() {
     for (step_ms, is_in_time) in [(1_000, true), (0, true), (-1_000, true), (-2_500, false)] {
-        let mut rig = Rig::new(vec![entry("w", "r1-1")]);
+        let mut rig = Harness::new(vec![entry("w", "r1-1")]);
         rig.fleet.accept(accepted_now(&rig, "holder", vec![step(16)]), rig.now_us);
         rig.settle();
         // Three seconds from acceptance to its objective, of which it runs for one.
@@ -114,10 +114,10 @@
 #[test]
 fn a_successor_with_another_clock_errs_by_no_more_than_the_step() {
     for step_ms in [-2_000_i64, 0, 2_000] {
-        let mut rig = Rig::new(vec![entry("w", "r1-1")]);
+        let mut rig = Harness::new(vec![entry("w", "r1-1")]);
         let spec = accepted_now(&rig, "j", vec![Step { label: "none".to_owned(), ..step(1) }]);
         rig.fleet.accept(spec.clone(), rig.now_us);
-        rig.pass_ms(5_000);
+        rig.advance_ms(5_000);
         let mut fleet = agatesill_policy::fleet::Fleet::new(fleet_support::bounds());
         let wall_ms = (rig.now_us / MS) as i64 + step_ms;
         fleet.set_wall_clock(rig.now_us, wall_ms as u64);
@@ -130,14 +130,14 @@
 /// Guards against lasting tasks whose wait begins anew with each start that their worker rejects.
 #[test]
 fn a_rejected_start_does_not_restart_the_wait() {
-    let mut rig = Rig::new(vec![entry("w", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w", "r1-1")]);
     let spec = accepted_now(&rig, "watch", vec![Step { is_lasting: true, ..step(1) }]);
     rig.fleet.accept(spec, rig.now_us);
     for _ in 0..4 {
         for order in rig.plan() {
             rig.fleet.order_answered(&order, OrderOutcome::NoRoom, rig.now_us);
         }
-        rig.pass_ms(1_000);
+        rig.advance_ms(1_000);
         rig.poll_all();
     }
     let waited_ms = rig.fleet.usage(rig.now_us).lasting.longest_ms;
@@ -147,11 +147,11 @@
 /// Guards against a successor that forgets how long a task waited whose start was not carried out.
 #[test]
 fn the_wait_of_a_task_that_was_about_to_start_survives_a_takeover() {
-    let mut rig = Rig::new(vec![entry("w", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w", "r1-1")]);
     let spec = accepted_now(&rig, "watch", vec![Step { is_lasting: true, ..step(1) }]);
     rig.fleet.worker_silent(0, rig.now_us);
     rig.fleet.accept(spec.clone(), rig.now_us);
-    rig.pass_ms(5_000);
+    rig.advance_ms(5_000);
     rig.poll_all();
     assert_eq!(rig.plan().len(), 1, "ordered, and not carried out");
     rig.fleet = rig.successor(&[spec], vec![entry("w", "r1-1")]);
--- a/crates/agatesill_policy/tests/fleet_colocation.rs
+++ b/crates/agatesill_policy/tests/fleet_colocation.rs
@@ -3,7 +3,7 @@
 mod fleet_support;
 
 use agatesill_policy::fleet::{JobSpec, Order, OrderKind};
-use fleet_support::{MS, Rig, entry, job, step};
+use fleet_support::{Harness, MS, entry, job, step};
 
 fn serving(id: &str, image: &str, count: u32) -> JobSpec {
     let mut watch = step(count);
@@ -28,8 +28,8 @@
 }
 
 /// Sets what the next polls report: the tail of serving images beside the pressing one.
-fn report(rig: &mut Rig, pressing: &str, victim: &str) {
-    for far in rig.far.values_mut() {
+fn report(rig: &mut Harness, pressing: &str, victim: &str) {
+    for far in rig.workers.values_mut() {
         let beside = far.running.values().any(|row| row.task.job.starts_with(pressing));
         for row in far.running.values_mut() {
             let serves = row.task.job.starts_with("watch");
@@ -58,12 +58,12 @@
 /// harmless one keeps its pace.
 #[test]
 fn a_harmful_pair_is_told_from_a_harmless_one_and_kept_apart() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     rig.fleet.accept(serving("watch-a", "ledger", 2), rig.now_us);
     rig.settle();
     rig.poll_all();
     let home = rig.present("watch-a")[0].0;
-    let other = rig.far.keys().copied().find(|worker| *worker != home).unwrap();
+    let other = rig.workers.keys().copied().find(|worker| *worker != home).unwrap();
     // The other worker is closed for now, so that both images are tried beside the watchers.
     let id = rig.fleet.worker(other).entry.id.clone();
     rig.fleet.worker_unlisted(&id);
@@ -71,7 +71,7 @@
     rig.settle();
     for _ in 0..4 {
         report(&mut rig, "heavy", "watch-a");
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll(home);
         rig.settle();
     }
@@ -81,11 +81,11 @@
     let mut moved = false;
     for round in 0..8 {
         report(&mut rig, "heavy", "watch-a");
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll(home);
         let orders = rig.plan();
         moved |= orders.iter().any(|o| o.kind == OrderKind::Stop && o.task.job == "heavy");
-        orders.iter().for_each(|order| rig.obey(order));
+        orders.iter().for_each(|order| rig.execute(order));
         assert!(
             !orders.iter().any(|o| o.task.job == "light" && matches!(o.kind, OrderKind::Stop)),
             "round {round}: the harmless image is left alone: {orders:?}"
@@ -104,7 +104,7 @@
 /// fills beside it stands still, whatever is believed of the images.
 #[test]
 fn nothing_that_fills_works_on_beside_a_task_long_over_its_target() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(serving("watch-a", "ledger", 1), rig.now_us);
     rig.settle();
     rig.poll_all();
@@ -116,12 +116,12 @@
     let mut still = 0;
     while rig.now_us < begun_us + 2_600 * MS {
         report(&mut rig, "fill", "watch-a");
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
         let orders = rig.plan();
         still += paced_to_zero(&orders);
         still += orders.iter().filter(|order| order.kind == OrderKind::Stop).count();
-        orders.iter().for_each(|order| rig.obey(order));
+        orders.iter().for_each(|order| rig.execute(order));
     }
     assert!(still >= 3, "{still} of 3 stand still after 2.6 of 4 seconds");
 }
@@ -130,7 +130,7 @@
 /// queue has one; held up by the first, half of the fleet would stand idle.
 #[test]
 fn an_image_without_a_place_does_not_hold_up_another() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(serving("watch-a", "ledger", 4), rig.now_us);
     rig.settle();
     rig.poll_all();
@@ -138,14 +138,14 @@
     rig.settle();
     for _ in 0..6 {
         report(&mut rig, "heavy", "watch-a");
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
         rig.settle();
     }
-    for far in rig.far.values_mut() {
+    for far in rig.workers.values_mut() {
         far.running.values_mut().for_each(|row| row.figure = 30);
     }
-    rig.pass_ms(500);
+    rig.advance_ms(500);
     rig.poll_all();
     rig.fleet.accept(filling("heavy2", "heavy", 4), rig.now_us);
     rig.fleet.accept(filling("light", "light", 1), rig.now_us);
@@ -158,7 +158,7 @@
 /// tails of all eight serving tasks of a worker eighteen times.
 #[test]
 fn an_unknown_pair_is_tried_with_one_task() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(serving("watch-a", "ledger", 3), rig.now_us);
     rig.settle();
     rig.poll_all();
@@ -171,14 +171,15 @@
 /// images and most images that fill are harmless there.
 #[test]
 fn lasting_tasks_are_packed_by_image() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1"), entry("w333", "r1-1")]);
+    let mut rig =
+        Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1"), entry("w333", "r1-1")]);
     rig.fleet.accept(serving("watch-a", "ledger", 2), rig.now_us);
     rig.settle();
     rig.fleet.accept(serving("watch-b", "limits", 2), rig.now_us);
     rig.settle();
     rig.fleet.accept(serving("watch-c", "ledger", 2), rig.now_us);
     rig.settle();
-    let homes = |rig: &Rig, id: &str| {
+    let homes = |rig: &Harness, id: &str| {
         rig.present(id)
             .iter()
             .map(|(worker, ..)| *worker)
@@ -192,7 +193,7 @@
 /// learned; without that, it would try the harmful pair again on every worker.
 #[test]
 fn what_was_learned_outlives_the_planner() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let watch = serving("watch-a", "ledger", 3);
     rig.fleet.accept(watch.clone(), rig.now_us);
     rig.settle();
@@ -201,7 +202,7 @@
     rig.settle();
     for _ in 0..4 {
         report(&mut rig, "heavy", "watch-a");
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
         rig.settle();
     }
@@ -217,8 +218,8 @@
 }
 
 /// Sets the tails of all tasks of a job, in hundredths of their target, and what fillers use.
-fn tails(rig: &mut Rig, job: &str, percent_of_target: u64) {
-    for far in rig.far.values_mut() {
+fn tails(rig: &mut Harness, job: &str, percent_of_target: u64) {
+    for far in rig.workers.values_mut() {
         for row in far.running.values_mut() {
             if row.task.job == job {
                 row.percent = 100;
@@ -235,7 +236,7 @@
 /// not. Batch work goes to the idle one; sent to the busy one it doubles tails at the next rise.
 #[test]
 fn work_that_fills_goes_where_lasting_tasks_have_little_to_do() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     rig.fleet.accept(serving("watch-a", "ledger", 5), rig.now_us);
     rig.fleet.accept(serving("watch-b", "ledger", 5), rig.now_us);
     rig.settle();
@@ -254,7 +255,7 @@
 /// fills is slowed before, and let go when the callers have left.
 #[test]
 fn a_worker_about_to_be_full_is_thinned_out_before_tails_pass_their_target() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(serving("watch-a", "ledger", 5), rig.now_us);
     rig.settle();
     tails(&mut rig, "watch-a", 30);
@@ -269,20 +270,20 @@
     };
     for (tail, pace) in [(80, 50), (90, 25)] {
         tails(&mut rig, "watch-a", tail);
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
         let slowed = rig.plan();
         assert_eq!(paces(&slowed, pace), 3, "{slowed:?}");
-        slowed.iter().for_each(|order| rig.obey(order));
+        slowed.iter().for_each(|order| rig.execute(order));
     }
     let mut back = 0;
     for _ in 0..4 {
         tails(&mut rig, "watch-a", 30);
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
         let orders = rig.plan();
         back += paces(&orders, 100);
-        orders.iter().for_each(|order| rig.obey(order));
+        orders.iter().for_each(|order| rig.execute(order));
     }
     assert_eq!(back, 3, "let go again");
 }
@@ -292,7 +293,7 @@
 /// its fault.
 #[test]
 fn the_eighteenth_image_is_told_from_the_seventeenth() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(serving("watch-a", "ledger", 2), rig.now_us);
     rig.settle();
     let names: Vec<String> = (0..17).map(|n| format!("light{n}")).collect();
@@ -301,7 +302,7 @@
         rig.settle();
         for _ in 0..6 {
             report(&mut rig, "heavy", "watch-a");
-            rig.pass_ms(500);
+            rig.advance_ms(500);
             rig.poll_all();
         }
         for (worker, task, run) in rig.present(image) {
@@ -314,7 +315,7 @@
     rig.settle();
     for _ in 0..6 {
         report(&mut rig, "heavy", "watch-a");
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
         rig.settle();
     }
@@ -337,7 +338,7 @@
 /// batch work that harms either of the two, though the empty worker costs nothing.
 #[test]
 fn serving_images_are_not_mixed_while_a_worker_is_empty() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     rig.fleet.accept(lasting("watch-a", "ledger", 5, 3_000), rig.now_us);
     rig.settle();
     rig.fleet.accept(lasting("watch-b", "audit", 1, 1_000), rig.now_us);
@@ -353,7 +354,7 @@
 #[test]
 fn an_unknown_pair_is_tried_on_a_few_workers_at_once() {
     let entries = (0..8).map(|index| entry(&format!("w{index}"), "r1-1")).collect();
-    let mut rig = Rig::new(entries);
+    let mut rig = Harness::new(entries);
     rig.fleet.accept(lasting("watch-a", "ledger", 8, 9_000), rig.now_us);
     rig.settle();
     rig.poll_all();
@@ -362,7 +363,7 @@
     assert_eq!(rig.present("new").len(), 3, "the pair is tried on three workers");
     for _ in 0..60 {
         report(&mut rig, "heavy", "watch-a");
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
         rig.settle();
     }
@@ -374,20 +375,20 @@
 /// two thirds of what the watchers leave unused, in place of less than half.
 #[test]
 fn work_that_fills_takes_what_a_reserved_floor_leaves_unused() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(lasting("watch-a", "ledger", 5, 3_000), rig.now_us);
     rig.settle();
     rig.poll_all();
-    let poll = |rig: &mut Rig| {
+    let poll = |rig: &mut Harness| {
         rig.settle();
-        for far in rig.far.values_mut() {
+        for far in rig.workers.values_mut() {
             for row in far.running.values_mut() {
                 let serves = row.task.job.starts_with("watch");
                 row.percent = if serves { 100 } else { row.percent + 1 };
                 row.figure = if serves { 50 } else { 2_000 };
             }
         }
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
     };
     (0..40).for_each(|_| poll(&mut rig));
@@ -407,12 +408,12 @@
     let mut big = entry("w1", "r1-1");
     big.capacity.cpu_milli = 64_000;
     big.capacity.memory_mb = 256_000;
-    let mut rig = Rig::new(vec![big]);
+    let mut rig = Harness::new(vec![big]);
     rig.fleet.accept(lasting("watch-a", "ledger", 2, 12_000), rig.now_us);
     rig.settle();
     rig.poll_all();
-    let report = |rig: &mut Rig| {
-        for far in rig.far.values_mut() {
+    let report = |rig: &mut Harness| {
+        for far in rig.workers.values_mut() {
             let heavy = far.running.values().filter(|row| row.task.job == "heavy").count();
             for row in far.running.values_mut() {
                 let serves = row.task.job.starts_with("watch");
@@ -425,7 +426,7 @@
     let mut most = 0;
     for round in 0..60 {
         report(&mut rig);
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
         rig.settle();
         if round == 20 {
@@ -443,20 +444,20 @@
 /// slowed for another second: the worker is simply full. What fills makes room with the first poll.
 #[test]
 fn a_full_worker_makes_room_with_the_first_look_over_target() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(lasting("watch-a", "ledger", 5, 3_000), rig.now_us);
     rig.settle();
     rig.poll_all();
-    let poll = |rig: &mut Rig, tail: u64| {
-        for row in rig.far.values_mut().flat_map(|far| far.running.values_mut()) {
+    let poll = |rig: &mut Harness, tail: u64| {
+        for row in rig.workers.values_mut().flat_map(|far| far.running.values_mut()) {
             let serves = row.task.job.starts_with("watch");
             row.percent = if serves { 100 } else { row.percent + 1 };
             row.figure = if serves { tail } else { 2_000 };
         }
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
         let orders = rig.plan();
-        orders.iter().for_each(|order| rig.obey(order));
+        orders.iter().for_each(|order| rig.execute(order));
         orders
     };
     (0..40).for_each(|_| drop(poll(&mut rig, 40)));
--- a/crates/agatesill_policy/tests/fleet_crashes.rs
+++ b/crates/agatesill_policy/tests/fleet_crashes.rs
@@ -7,7 +7,7 @@
 use agatesill_policy::fleet::{
     EndCause, JobPhase, JobSpec, Order, OrderKind, OrderOutcome, Step, WorkerEntry, WorkerIndex,
 };
-use fleet_support::{MS, Rig, entry, job, name, step};
+use fleet_support::{Harness, MS, entry, job, name, step};
 
 const TICK_MS: u64 = 50;
 
@@ -19,7 +19,7 @@
 
 /// A simulated fleet in which the configured tasks crash each worker that starts them.
 struct CrashFleet {
-    rig: Rig,
+    rig: Harness,
     crashing_tasks: BTreeSet<String>,
     /// Whether workers crash before they answer the start.
     crashes_before_answer: bool,
@@ -37,7 +37,7 @@
     fn new(workers: usize) -> Self {
         let entries = (0..workers).map(|at| worker_entry(at, 1)).collect();
         Self {
-            rig: Rig::new(entries),
+            rig: Harness::new(entries),
             crashing_tasks: BTreeSet::new(),
             crashes_before_answer: false,
             ends_us: BTreeMap::new(),
@@ -63,7 +63,7 @@
     }
 
     fn tick(&mut self) {
-        self.rig.pass_ms(TICK_MS);
+        self.rig.advance_ms(TICK_MS);
         self.restart_workers();
         self.end_runs();
         self.poll();
@@ -74,7 +74,7 @@
 
     fn carry_out(&mut self, order: &Order) {
         let now_us = self.rig.now_us;
-        if !self.rig.far.contains_key(&order.worker) {
+        if !self.rig.workers.contains_key(&order.worker) {
             self.rig.fleet.order_answered(order, OrderOutcome::Unanswered, now_us);
             return;
         }
@@ -88,7 +88,7 @@
         if crashes && self.crashes_before_answer {
             self.rig.fleet.order_answered(order, OrderOutcome::Unanswered, now_us);
         } else {
-            self.rig.obey(order);
+            self.rig.execute(order);
         }
         if crashes {
             self.crash(order.worker);
@@ -96,13 +96,13 @@
     }
 
     fn crash(&mut self, worker: WorkerIndex) {
-        self.rig.far.remove(&worker);
+        self.rig.workers.remove(&worker);
         self.down.push((worker, self.rig.now_us + RESTART_MS * MS));
     }
 
     /// Crashes every third worker that is up, starting at index `first`.
     fn crash_every_third(&mut self, first: usize) {
-        let up: Vec<WorkerIndex> = self.rig.far.keys().copied().collect();
+        let up: Vec<WorkerIndex> = self.rig.workers.keys().copied().collect();
         up.into_iter().skip(first).step_by(3).for_each(|worker| self.crash(worker));
     }
 
@@ -123,7 +123,7 @@
         let now_us = self.rig.now_us;
         let over: Vec<(WorkerIndex, _, u32)> = self
             .rig
-            .far
+            .workers
             .iter()
             .flat_map(|(worker, far)| far.running.values().map(|row| (*worker, row)))
             .filter(|(_, row)| {
@@ -142,7 +142,7 @@
         for (worker, _) in self.down.clone() {
             self.rig.fleet.worker_silent(worker, self.rig.now_us);
         }
-        let up: Vec<WorkerIndex> = self.rig.far.keys().copied().collect();
+        let up: Vec<WorkerIndex> = self.rig.workers.keys().copied().collect();
         // The poll was sent before the orders of the last 10 ms were answered.
         let sent_us = self.rig.now_us - 10 * MS;
         up.into_iter().for_each(|worker| self.rig.poll_sent(worker, sent_us));
@@ -153,7 +153,7 @@
     fn take_over(&mut self) {
         let entries: Vec<WorkerEntry> =
             self.rig.fleet.live_workers().map(|(_, worker)| worker.entry.clone()).collect();
-        let up: BTreeMap<String, _> = std::mem::take(&mut self.rig.far)
+        let up: BTreeMap<String, _> = std::mem::take(&mut self.rig.workers)
             .into_iter()
             .map(|(worker, far)| (self.rig.fleet.worker(worker).entry.id.clone(), far))
             .collect();
@@ -169,7 +169,7 @@
             .live_workers()
             .map(|(index, worker)| (worker.entry.id.clone(), index))
             .collect();
-        self.rig.far =
+        self.rig.workers =
             up.into_iter().filter_map(|(id, far)| Some((*indexes.get(&id)?, far))).collect();
         self.down =
             down.into_iter().filter_map(|(id, at)| Some((*indexes.get(&id)?, at))).collect();
--- a/crates/agatesill_policy/tests/fleet_memory.rs
+++ b/crates/agatesill_policy/tests/fleet_memory.rs
@@ -4,7 +4,7 @@
 
 use agatesill_policy::batch::Resources;
 use agatesill_policy::fleet::{Step, WorkerEntry};
-use fleet_support::{Rig, entry, job, step};
+use fleet_support::{Harness, entry, job, step};
 
 fn worker(at: usize, cores: u64, memory_mb: u64) -> WorkerEntry {
     let capacity = Resources { cpu_milli: cores * 1_000, memory_mb, accelerators: 0 };
@@ -18,7 +18,7 @@
 fn workers_without_memory_do_not_use_up_the_search_limit() {
     let without_memory = (0..300).map(|at| worker(at, 8, 500));
     let with_room = (300..310).map(|at| worker(at, 16, 64_000));
-    let mut rig = Rig::new(without_memory.chain(with_room).collect());
+    let mut rig = Harness::new(without_memory.chain(with_room).collect());
     rig.fleet.accept(job("lasting", vec![Step { is_lasting: true, ..step(6) }]), rig.now_us);
     rig.fleet.accept(job("finite", vec![step(6)]), rig.now_us);
     rig.settle();
@@ -31,10 +31,10 @@
 fn repeated_searches_reach_workers_beyond_one_scan() {
     let without_memory = (0..9_000).map(|at| worker(at, 8, 500));
     let with_room = (9_000..9_010).map(|at| worker(at, 16, 64_000));
-    let mut rig = Rig::new(without_memory.chain(with_room).collect());
+    let mut rig = Harness::new(without_memory.chain(with_room).collect());
     rig.fleet.accept(job("finite", vec![step(6)]), rig.now_us);
     for _ in 0..4 {
-        rig.pass_ms(50);
+        rig.advance_ms(50);
         rig.settle();
     }
     assert_eq!(rig.present("finite").len(), 6);
--- a/crates/agatesill_policy/tests/fleet_orders.rs
+++ b/crates/agatesill_policy/tests/fleet_orders.rs
@@ -5,7 +5,7 @@
 use agatesill_policy::fleet::{
     EndCause, JobPhase, Order, OrderKind, OrderOutcome, Step, WorkerStanding,
 };
-use fleet_support::{MS, Rig, entry, job, step};
+use fleet_support::{Harness, MS, entry, job, step};
 
 fn starts(orders: &[Order]) -> Vec<&Order> {
     orders.iter().filter(|order| matches!(order.kind, OrderKind::Start { .. })).collect()
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_job_runs_its_steps_in_order_to_the_end() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let second = Step { after: vec![0], ..step(1) };
     rig.fleet.accept(job("j", vec![step(2), second]), rig.now_us);
     rig.settle();
@@ -36,7 +36,7 @@
 /// out all the same, a successor would read a ledger without that run and start a second one.
 #[test]
 fn no_start_goes_out_before_its_record_is_stored() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     rig.fleet.plan(rig.now_us, rig.now_us / MS);
     let writes = rig.fleet.take_writes(15, rig.now_us);
@@ -52,7 +52,7 @@
 /// does not know starts the review after the caller was told that it is cancelled.
 #[test]
 fn a_cancel_that_is_heard_of_before_its_job_holds() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.cancel("j", rig.now_us);
     rig.fleet.accept(job("j", vec![step(2)]), rig.now_us);
     rig.settle();
@@ -64,7 +64,7 @@
 /// worker takes for the same run; a new number elsewhere would price an entry twice.
 #[test]
 fn an_unanswered_start_is_repeated_at_the_same_worker_under_the_same_number() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     let orders = rig.plan();
     rig.carry_out(&orders[0]);
@@ -72,7 +72,7 @@
     let again = rig.plan();
     assert_eq!(again.len(), 1);
     assert_eq!((again[0].worker, again[0].run), (orders[0].worker, orders[0].run));
-    rig.obey(&again[0]);
+    rig.execute(&again[0]);
     rig.poll_all();
     rig.settle();
     assert_eq!(rig.present("j").len(), 1);
@@ -82,7 +82,7 @@
 /// runs elsewhere. The stop that was sent for the first run bars it; without it both would run.
 #[test]
 fn a_start_that_stays_unanswered_is_barred_before_the_task_goes_elsewhere() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     let first = rig.plan().remove(0);
     rig.fleet.order_answered(&first, OrderOutcome::Unanswered, rig.now_us);
@@ -91,8 +91,8 @@
     let bar = rig.plan();
     assert_eq!(bar.len(), 1, "nothing starts elsewhere before the bar holds: {bar:?}");
     assert_eq!((bar[0].worker, &bar[0].kind), (first.worker, &OrderKind::Stop));
-    rig.obey(&bar[0]);
-    rig.pass_ms(5);
+    rig.execute(&bar[0]);
+    rig.advance_ms(5);
     rig.poll_all();
     let elsewhere = rig.plan();
     assert_eq!(starts(&elsewhere).len(), 1);
@@ -105,7 +105,7 @@
 /// twice.
 #[test]
 fn a_start_rejected_after_it_was_unanswered_once_is_barred_as_well() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     let first = rig.plan().remove(0);
     rig.fleet.order_answered(&first, OrderOutcome::Unanswered, rig.now_us);
@@ -114,8 +114,8 @@
     let bar = rig.plan();
     assert!(starts(&bar).is_empty(), "the first may still be carried out: {bar:?}");
     assert_eq!((bar[0].worker, &bar[0].kind), (first.worker, &OrderKind::Stop));
-    rig.obey(&bar[0]);
-    rig.pass_ms(5);
+    rig.execute(&bar[0]);
+    rig.advance_ms(5);
     rig.poll_all();
     let elsewhere = rig.plan();
     assert_eq!(starts(&elsewhere).len(), 1);
@@ -126,14 +126,14 @@
 /// at once under a higher number would run a finished task again.
 #[test]
 fn a_run_called_old_waits_for_the_worker_to_say_how_it_ended() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     let start = rig.plan().remove(0);
     rig.carry_out(&start);
     rig.end(start.worker, &start.task, start.run, EndCause::Done);
     rig.fleet.order_answered(&start, OrderOutcome::Old, rig.now_us);
     assert!(starts(&rig.plan()).is_empty());
-    rig.pass_ms(5);
+    rig.advance_ms(5);
     rig.poll_all();
     rig.settle();
     assert_eq!(rig.fleet.state_of("j"), Some((JobPhase::Completed, true)));
@@ -144,14 +144,14 @@
 /// that long two runs of each would exist.
 #[test]
 fn a_lease_counts_from_the_last_call_that_asked_for_it_answered_or_not() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     rig.settle();
     let worker = rig.present("j")[0].0;
     rig.poll_all();
-    rig.pass_ms(500);
+    rig.advance_ms(500);
     let asked_us = rig.now_us;
-    rig.fleet.lease_asked(worker, asked_us);
+    rig.fleet.lease_requested(worker, asked_us);
     rig.fleet.worker_silent(worker, rig.now_us + 1_200 * MS);
     rig.now_us = asked_us + 5_050 * MS;
     rig.fleet.expire_workers(rig.now_us, rig.now_us);
@@ -165,18 +165,18 @@
 /// has nowhere to go. The worker comes back and the task runs on, hours after its cancel.
 #[test]
 fn a_stop_is_repeated_while_the_run_is_still_there() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     rig.settle();
     rig.poll_all();
     rig.fleet.cancel("j", rig.now_us);
     let lost = rig.plan();
     assert!(lost.iter().any(|order| order.kind == OrderKind::Stop));
-    rig.pass_ms(2_000);
+    rig.advance_ms(2_000);
     rig.poll_all();
     let again = rig.plan();
     assert!(again.iter().any(|order| order.kind == OrderKind::Stop), "{again:?}");
-    again.iter().for_each(|order| rig.obey(order));
+    again.iter().for_each(|order| rig.execute(order));
     rig.poll_all();
     assert!(rig.present("j").is_empty());
 }
@@ -185,7 +185,7 @@
 /// once: waiting for its lease would leave a desk job five seconds without a run.
 #[test]
 fn another_life_at_the_address_ends_the_old_one_at_once() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     rig.settle();
     let old = rig.present("j")[0].0;
@@ -203,12 +203,12 @@
 /// and each rejection is paid for.
 #[test]
 fn a_worker_that_rejects_for_room_gets_nothing_for_a_moment() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     let start = rig.plan().remove(0);
     rig.fleet.order_answered(&start, OrderOutcome::NoRoom, rig.now_us);
     assert!(starts(&rig.plan()).is_empty());
-    rig.pass_ms(500);
+    rig.advance_ms(500);
     assert_eq!(starts(&rig.plan())[0].run, 2);
 }
 
@@ -216,7 +216,7 @@
 /// lost with this process, and the task would run again.
 #[test]
 fn an_end_is_acknowledged_after_its_record_is_stored() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     rig.settle();
     let (worker, task, run) = rig.present("j").remove(0);
@@ -231,7 +231,7 @@
 /// sound worker is not closed for it, since only one job failed there.
 #[test]
 fn a_hopeless_job_fails_without_closing_its_worker() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     for _ in 0..3 {
         rig.settle();
@@ -249,7 +249,7 @@
 /// every job in the queue.
 #[test]
 fn a_worker_that_fails_several_jobs_gets_no_more() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     for id in ["j", "k", "l"] {
         rig.fleet.accept(job(id, vec![step(1)]), rig.now_us);
     }
@@ -260,7 +260,7 @@
     }
     rig.poll_all();
     assert!(starts(&rig.plan()).is_empty());
-    rig.pass_ms(4_500);
+    rig.advance_ms(4_500);
     rig.poll_all();
     assert_eq!(starts(&rig.plan()).len(), 3, "it is tried again some time");
 }
@@ -269,7 +269,7 @@
 /// they can; left until the end they would be missing for the time of a lease.
 #[test]
 fn a_leaving_worker_is_emptied_of_lasting_tasks() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     let watch = Step { is_lasting: true, ..step(1) };
     rig.fleet.accept(job("j", vec![watch]), rig.now_us);
     rig.settle();
@@ -292,7 +292,7 @@
 /// the others, end alone, and have wasted what they held.
 #[test]
 fn a_gang_starts_as_a_whole_or_not_at_all() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let mut gang = Step { is_gang: true, ..step(4) };
     gang.need.cpu_milli = 5_000;
     rig.fleet.accept(job("j", vec![gang]), rig.now_us);
@@ -308,7 +308,7 @@
 /// stop, it may overtake it, and a cancelled task would run until the stop came.
 #[test]
 fn a_start_that_waits_to_be_repeated_is_dropped_by_a_cancel() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     let start = rig.plan().remove(0);
     rig.fleet.order_answered(&start, OrderOutcome::Unanswered, rig.now_us);
@@ -323,7 +323,7 @@
 /// no attempts to lose, so it goes back.
 #[test]
 fn a_lasting_task_goes_to_a_closed_worker_rather_than_nowhere() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let watch = Step { is_lasting: true, ..step(1) };
     rig.fleet.accept(job("watch", vec![watch]), rig.now_us);
     for id in ["j", "k", "l"] {
@@ -336,7 +336,7 @@
     }
     rig.poll_all();
     assert!(starts(&rig.plan()).is_empty(), "another worker may come to have room");
-    rig.pass_ms(1_600);
+    rig.advance_ms(1_600);
     rig.poll_all();
     let orders = rig.plan();
     let names: Vec<&str> = starts(&orders).iter().map(|o| o.task.job.as_str()).collect();
@@ -348,12 +348,12 @@
 /// choice on. A job waits until one of its runs is known to have begun.
 #[test]
 fn a_job_whose_start_is_on_its_way_still_counts_as_waiting() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j1", vec![step(2)]), rig.now_us);
     let orders = rig.plan();
     assert_eq!(orders.len(), 2);
     assert_eq!(rig.fleet.pending("desk"), 1, "nothing has been started yet");
-    rig.obey(&orders[0]);
+    rig.execute(&orders[0]);
     assert_eq!(rig.fleet.pending("desk"), 0);
 }
 
@@ -361,14 +361,14 @@
 /// shows the run, the job counts as waiting.
 #[test]
 fn after_a_takeover_an_ordered_start_is_no_proof_that_a_job_has_begun() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let spec = job("j1", vec![step(1)]);
     rig.fleet.accept(spec.clone(), rig.now_us);
     let orders = rig.plan();
     let mut next = rig.successor(&[spec], vec![entry("w1", "r1-1")]);
     assert_eq!(next.pending("desk"), 1);
     rig.carry_out(&orders[0]);
-    let running = rig.far[&0].running.values().cloned().collect();
+    let running = rig.workers[&0].running.values().cloned().collect();
     let poll = agatesill_policy::fleet::Poll {
         sent_us: rig.now_us,
         lease_ms: 5_000,
@@ -384,7 +384,7 @@
 /// first answer was lost, and cancels it late: it is still told as completed, and never runs again.
 #[test]
 fn a_retired_job_is_remembered_and_never_runs_again() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let spec = job("j1", vec![step(1)]);
     rig.fleet.accept(spec.clone(), rig.now_us);
     rig.settle();
--- a/crates/agatesill_policy/tests/fleet_overload.rs
+++ b/crates/agatesill_policy/tests/fleet_overload.rs
@@ -3,7 +3,7 @@
 mod fleet_support;
 
 use agatesill_policy::fleet::{EndCause, JobPhase, JobSpec, OrderOutcome, WorkerEntry};
-use fleet_support::{MS, Rig, entry, job, step};
+use fleet_support::{Harness, MS, entry, job, step};
 
 fn review(index: u32, accepted_at_ms: u64) -> JobSpec {
     let mut spec = job(&format!("review{index:03}"), vec![step(8)]);
@@ -19,7 +19,7 @@
 /// half of them are in time.
 #[test]
 fn in_a_long_overload_half_of_the_work_is_still_in_time() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     let begun_us = rig.now_us;
     let mut accepted = Vec::new();
     let mut in_time = 0;
@@ -49,9 +49,9 @@
 }
 
 /// Ends the runs that have worked for a second; progress stands in their rows.
-fn end_after_a_second(rig: &mut Rig) {
+fn end_after_a_second(rig: &mut Harness) {
     let mut over = Vec::new();
-    for (worker, far) in &mut rig.far {
+    for (worker, far) in &mut rig.workers {
         for row in far.running.values_mut() {
             row.percent += 10;
             if row.percent >= 100 {
@@ -67,7 +67,7 @@
 /// Desk work goes before batch work, however long the latter has waited.
 #[test]
 fn urgent_work_is_placed_first() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     for index in 0..4 {
         rig.fleet.accept(review(index, 1_000), rig.now_us);
     }
@@ -79,7 +79,7 @@
 /// No worker is ever given more than it has, whatever the mix of jobs.
 #[test]
 fn workers_are_never_over_their_capacity() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     for index in 0..30 {
         let mut spec = review(index, 1_000);
         spec.steps[0].need.cpu_milli = 700 + 450 * u64::from(index % 7);
@@ -98,7 +98,7 @@
         address: format!("10.0.1.{at}:80"),
         ..entry(&format!("w{at}"), "r1-1")
     });
-    let mut rig = Rig::new(workers.collect());
+    let mut rig = Harness::new(workers.collect());
     for at in 0..40 {
         let mut spec = job(&format!("batch{at}"), vec![step(80)]);
         spec.queue = "month-end".to_owned();
@@ -111,14 +111,14 @@
     let orders = rig.plan();
     assert_eq!(orders.len(), 4, "an urgent step is not held up");
     let earlier: Vec<_> = rig.orders.clone();
-    earlier.iter().for_each(|order| rig.obey(order));
+    earlier.iter().for_each(|order| rig.execute(order));
     assert!(!rig.plan().is_empty(), "batch goes on once its starts are answered");
 }
 
 /// Guards against batch that waits after a takeover for tasks on workers that do not answer.
 #[test]
 fn tasks_that_were_read_back_or_given_up_are_not_starting() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let spec = job("running", vec![step(8)]);
     rig.fleet.accept(spec.clone(), rig.now_us);
     let orders = rig.plan();
--- a/crates/agatesill_policy/tests/fleet_preempt.rs
+++ b/crates/agatesill_policy/tests/fleet_preempt.rs
@@ -3,7 +3,7 @@
 mod fleet_support;
 
 use agatesill_policy::fleet::{EndCause, JobSpec, OrderKind};
-use fleet_support::{MS, Rig, entry, job, step};
+use fleet_support::{Harness, MS, entry, job, step};
 
 fn watch(id: &str, count: u32, may_miss: Option<u32>) -> JobSpec {
     let mut watch = step(count);
@@ -23,22 +23,22 @@
 }
 
 /// Has all watchers at work, and lets them work for six seconds.
-fn at_work(rig: &mut Rig) {
+fn at_work(rig: &mut Harness) {
     rig.settle();
     for _ in 0..12 {
-        rig.far.values_mut().flat_map(|far| far.running.values_mut()).for_each(|row| {
+        rig.workers.values_mut().flat_map(|far| far.running.values_mut()).for_each(|row| {
             row.percent = 100;
         });
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         rig.poll_all();
     }
 }
 
 /// Lets 50 ms pass, `times` over, and returns how many lasting tasks were told to stop.
-fn pass(rig: &mut Rig, times: u32) -> usize {
+fn pass(rig: &mut Harness, times: u32) -> usize {
     let before = rig.orders.len();
     for _ in 0..times {
-        rig.pass_ms(50);
+        rig.advance_ms(50);
         rig.settle();
         rig.poll_all();
         rig.settle();
@@ -52,7 +52,7 @@
 /// starts within a fifth of a second in place of never.
 #[test]
 fn one_lasting_task_gives_way_to_an_urgent_step() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(watch("watch", 5, None), rig.now_us);
     at_work(&mut rig);
     rig.fleet.accept(urgent("desk", 2, rig.now_us), rig.now_us);
@@ -66,7 +66,7 @@
 /// and returns when they are over.
 #[test]
 fn a_task_that_gave_way_holds_back_and_then_returns() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(watch("watch", 5, Some(1)), rig.now_us);
     at_work(&mut rig);
     rig.fleet.accept(urgent("desk", 2, rig.now_us), rig.now_us);
@@ -84,7 +84,7 @@
 /// go: its owner said that one may be missing.
 #[test]
 fn no_more_lasting_tasks_give_way_than_their_step_allows() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(watch("watch", 5, Some(1)), rig.now_us);
     at_work(&mut rig);
     rig.fleet.accept(urgent("desk", 6, rig.now_us), rig.now_us);
@@ -95,7 +95,7 @@
 /// A job says that none of its tasks may be missing. Its owner is taken at their word, whoever waits.
 #[test]
 fn a_step_without_allowance_never_gives_way() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(watch("watch", 5, Some(0)), rig.now_us);
     at_work(&mut rig);
     rig.fleet.accept(urgent("desk", 2, rig.now_us), rig.now_us);
@@ -107,7 +107,7 @@
 /// anybody in time.
 #[test]
 fn nothing_gives_way_to_a_step_that_is_late_already() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(watch("watch", 5, None), rig.now_us);
     at_work(&mut rig);
     rig.fleet.accept(urgent("desk", 2, rig.now_us - 9_000 * MS), rig.now_us);
@@ -118,7 +118,7 @@
 /// again at once; held back like one that did, each failure would cost its callers two more seconds.
 #[test]
 fn a_task_that_failed_starts_again_at_once() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(watch("watch", 5, Some(1)), rig.now_us);
     at_work(&mut rig);
     let (worker, task, run) = rig.present("watch")[0].clone();
@@ -132,13 +132,13 @@
 /// They leave what is free to urgent steps for two seconds, and are served before all others then.
 #[test]
 fn new_lasting_tasks_leave_free_room_to_urgent_steps_for_a_moment() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(urgent("first", 8, rig.now_us), rig.now_us);
     rig.settle();
     rig.fleet.accept(watch("watch", 5, Some(0)), rig.now_us);
     let mut urgents = 0;
     for round in 0..5 {
-        rig.pass_ms(500);
+        rig.advance_ms(500);
         let spec = urgent(&format!("urgent{round}"), 8, rig.now_us);
         rig.fleet.accept(spec, rig.now_us);
         let before = if round == 0 { "first".to_owned() } else { format!("urgent{}", round - 1) };
@@ -158,7 +158,7 @@
 /// missing for eighteen seconds. It goes first once it has waited for three and a half.
 #[test]
 fn a_preempted_task_returns_though_urgent_steps_keep_coming() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(watch("watch", 5, Some(1)), rig.now_us);
     at_work(&mut rig);
     let mut missing_ms = 0;
@@ -170,7 +170,7 @@
         }
         pass(&mut rig, 10);
         let over: Vec<_> = rig
-            .far
+            .workers
             .iter()
             .flat_map(|(worker, far)| far.running.values().map(move |row| (*worker, row)))
             .filter(|(_, row)| row.task.job.starts_with("urgent"))
--- a/crates/agatesill_policy/tests/fleet_random.rs
+++ b/crates/agatesill_policy/tests/fleet_random.rs
@@ -14,7 +14,7 @@
     EndCause, EndRow, JobSpec, Order, OrderKind, OrderOutcome, Poll, RunRow, Step, TaskKey,
     WorkerEntry, WorkerIndex,
 };
-use fleet_support::{MS, Rig, entry, job, name, step};
+use fleet_support::{Harness, MS, entry, job, name, step};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -40,7 +40,7 @@
 }
 
 struct World {
-    rig: Rig,
+    rig: Harness,
     real: BTreeMap<String, Real>,
     jobs: Vec<JobSpec>,
     cancelled: BTreeSet<String>,
@@ -56,7 +56,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut world = Self {
-            rig: Rig::new(Vec::new()),
+            rig: Harness::new(Vec::new()),
             real: BTreeMap::new(),
             jobs: Vec::new(),
             cancelled: BTreeSet::new(),
@@ -110,7 +110,7 @@
             55..60 => self.carry_out_late(),
             _ => {
                 let ms = self.random.random_range(20..700);
-                self.rig.pass_ms(ms);
+                self.rig.advance_ms(ms);
             }
         }
         self.note_finished();
@@ -276,7 +276,7 @@
                 running: real.runs.values().cloned().collect(),
                 ended: real.ended.clone(),
             };
-            self.rig.pass_ms(1);
+            self.rig.advance_ms(1);
             self.rig.fleet.polled(index, &poll, self.rig.now_us);
         }
     }
@@ -299,12 +299,12 @@
                 }
                 1 => {
                     real.obey(&order, now_us);
-                    self.rig.fleet.lease_asked(order.worker, now_us);
+                    self.rig.fleet.lease_requested(order.worker, now_us);
                     self.rig.fleet.order_answered(&order, OrderOutcome::Unanswered, now_us);
                 }
                 _ => {
                     let outcome = real.obey(&order, now_us);
-                    self.rig.fleet.lease_asked(order.worker, now_us);
+                    self.rig.fleet.lease_requested(order.worker, now_us);
                     self.rig.fleet.order_answered(&order, outcome, now_us);
                 }
             }
@@ -442,7 +442,7 @@
         world.rig.list(entry);
     }
     for _ in 0..800 {
-        world.rig.pass_ms(100);
+        world.rig.advance_ms(100);
         world.end_one();
         world.end_one();
         world.note_finished();
--- a/crates/agatesill_policy/tests/fleet_records.rs
+++ b/crates/agatesill_policy/tests/fleet_records.rs
@@ -3,7 +3,7 @@
 mod fleet_support;
 
 use agatesill_policy::fleet::EndCause;
-use fleet_support::{Rig, entry, job, step};
+use fleet_support::{Harness, entry, job, step};
 
 /// Entries of a transaction.
 const MOST_ENTRIES: usize = 31;
@@ -11,7 +11,7 @@
 /// Guards against records of ends that are never stored while starts keep the store busy.
 #[test]
 fn the_record_of_an_end_is_stored_while_starts_keep_coming() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("watched", vec![step(2)]), rig.now_us);
     rig.settle();
     let (worker, task, run) = rig.present("watched").remove(0);
@@ -29,7 +29,7 @@
         let writes = rig.fleet.take_writes(MOST_ENTRIES, rig.now_us);
         is_stored |= writes.iter().any(|write| write.job == "watched");
         writes.iter().for_each(|write| rig.fleet.committed(write, 1, rig.now_us));
-        rig.pass_ms(25);
+        rig.advance_ms(25);
     }
     assert!(is_stored, "the end was not stored within a second");
 }
--- a/crates/agatesill_policy/tests/fleet_scale.rs
+++ b/crates/agatesill_policy/tests/fleet_scale.rs
@@ -3,7 +3,7 @@
 mod fleet_support;
 
 use agatesill_policy::fleet::{Effort, JobSpec, Step, WorkerEntry};
-use fleet_support::{MS, Rig, entry, job, step};
+use fleet_support::{Harness, MS, entry, job, step};
 
 /// Time between two rounds of planning.
 const ROUND_MS: u64 = 50;
@@ -63,8 +63,8 @@
 }
 
 /// A fleet of `count` workers whose processors are reserved to nine tenths by lasting tasks.
-fn reserved(count: usize) -> Rig {
-    let mut rig = Rig::new(workers(count));
+fn reserved(count: usize) -> Harness {
+    let mut rig = Harness::new(workers(count));
     let tasks = count as f64 * 16_000.0 * 0.9 / 3_200.0;
     for index in 0..(tasks / 24.0) as usize {
         rig.fleet.accept(lasting(index), rig.now_us);
@@ -76,17 +76,17 @@
 }
 
 /// What the next polls show: lasting tasks at work with low tails, others a twentieth further.
-fn report(rig: &mut Rig) {
-    for row in rig.far.values_mut().flat_map(|far| far.running.values_mut()) {
+fn report(rig: &mut Harness) {
+    for row in rig.workers.values_mut().flat_map(|far| far.running.values_mut()) {
         let is_lasting = row.task.job.starts_with("lasting");
         row.percent = if is_lasting { 100 } else { row.percent + 5 };
         row.figure = if is_lasting { 30 } else { 1_500 };
     }
 }
 
-fn end_finished(rig: &mut Rig) {
+fn end_finished(rig: &mut Harness) {
     let over: Vec<_> = rig
-        .far
+        .workers
         .iter()
         .flat_map(|(worker, far)| far.running.values().map(move |row| (*worker, row)))
         .filter(|(_, row)| !row.task.job.starts_with("lasting") && row.percent >= 100)
@@ -118,7 +118,7 @@
             urgents += 1;
         }
         let orders = rig.plan();
-        orders.iter().for_each(|order| rig.obey(order));
+        orders.iter().for_each(|order| rig.execute(order));
         let next_us = rig.now_us + ROUND_MS * MS;
         report(&mut rig);
         end_finished(&mut rig);
--- a/crates/agatesill_policy/tests/fleet_slow.rs
+++ b/crates/agatesill_policy/tests/fleet_slow.rs
@@ -3,7 +3,7 @@
 mod fleet_support;
 
 use agatesill_policy::fleet::{EndCause, JobPhase, JobSpec};
-use fleet_support::{MS, Rig, entry, job, step};
+use fleet_support::{Harness, MS, entry, job, step};
 
 /// Time between two polls.
 const TICK_MS: u64 = 250;
@@ -11,13 +11,13 @@
 /// Run time of a task on a sound worker.
 const RUN_MS: u64 = 1_000;
 
-fn workers(count: usize) -> Rig {
+fn workers(count: usize) -> Harness {
     let entries = (0..count).map(|index| {
         let mut worker = entry(&format!("w{index}"), "r1-1");
         worker.address = format!("10.0.0.{index}:80");
         worker
     });
-    Rig::new(entries.collect())
+    Harness::new(entries.collect())
 }
 
 /// An urgent job with tasks on nearly all workers of a small fleet; estimates are off by half.
@@ -32,9 +32,9 @@
 
 /// Lets a tick pass, in which each sixth worker does a fifth of what others do if `is_slow`, and polls
 /// at all.
-fn tick(rig: &mut Rig, is_slow: bool, part: &mut Vec<(String, u32, f64)>) {
+fn tick(rig: &mut Harness, is_slow: bool, part: &mut Vec<(String, u32, f64)>) {
     let mut over = Vec::new();
-    for (worker, far) in &mut rig.far {
+    for (worker, far) in &mut rig.workers {
         let speed = if is_slow && *worker % 6 == 0 { 0.2 } else { 1.0 };
         for ((name, run), row) in &mut far.running {
             let place = part.iter().position(|(task, of, _)| task == name && of == run);
@@ -58,7 +58,7 @@
     rig.settle();
 }
 
-fn run_for(seconds: u64, is_slow: bool) -> (usize, usize, Rig) {
+fn run_for(seconds: u64, is_slow: bool) -> (usize, usize, Harness) {
     let mut rig = workers(18);
     let (mut part, mut open) = (Vec::new(), Vec::new());
     let (mut jobs, mut in_time) = (0, 0);
--- a/crates/agatesill_policy/tests/fleet_starvation.rs
+++ b/crates/agatesill_policy/tests/fleet_starvation.rs
@@ -3,7 +3,7 @@
 mod fleet_support;
 
 use agatesill_policy::fleet::{JobSpec, Step};
-use fleet_support::world::{Conditions, S, World};
+use fleet_support::simulation::{Conditions, S, World};
 use fleet_support::{job, step};
 
 const WORKERS: usize = 1_100;
--- a/crates/agatesill_policy/tests/fleet_support/mod.rs
+++ b/crates/agatesill_policy/tests/fleet_support/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test file uses its own part.
 #![allow(clippy::unwrap_used)] // A broken assumption of a test ends the test.
 
-pub mod world;
+pub mod simulation;
 
 use std::collections::BTreeMap;
 
@@ -82,11 +82,11 @@
 }
 
 /// A fleet and its workers; the store answers at once.
-pub struct Rig {
+pub struct Harness {
     /// The ledger.
     pub fleet: Fleet,
     /// Workers by index.
-    pub far: BTreeMap<WorkerIndex, Far>,
+    pub workers: BTreeMap<WorkerIndex, Far>,
     /// Now.
     pub now_us: u64,
     /// Records as stored.
@@ -96,12 +96,12 @@
     revision: u64,
 }
 
-impl Rig {
+impl Harness {
     /// A fleet with these workers, all polled once.
     pub fn new(entries: Vec<WorkerEntry>) -> Self {
         let mut rig = Self {
             fleet: Fleet::new(bounds()),
-            far: BTreeMap::new(),
+            workers: BTreeMap::new(),
             now_us: 10_000 * MS,
             stored: BTreeMap::new(),
             orders: Vec::new(),
@@ -117,12 +117,12 @@
     /// Registers a worker.
     pub fn list(&mut self, entry: WorkerEntry) -> WorkerIndex {
         let index = self.fleet.worker_listed(entry, self.now_us);
-        self.far.entry(index).or_default();
+        self.workers.entry(index).or_default();
         index
     }
 
     /// Lets time pass.
-    pub fn pass_ms(&mut self, ms: u64) {
+    pub fn advance_ms(&mut self, ms: u64) {
         self.now_us += ms * MS;
     }
 
@@ -155,14 +155,14 @@
     }
 
     /// Has a worker obey an order and tells the ledger.
-    pub fn obey(&mut self, order: &Order) {
+    pub fn execute(&mut self, order: &Order) {
         self.carry_out(order);
         self.fleet.order_answered(order, OrderOutcome::Done, self.now_us);
     }
 
     /// Has a worker obey an order whose answer is lost.
     pub fn carry_out(&mut self, order: &Order) {
-        let far = self.far.entry(order.worker).or_default();
+        let far = self.workers.entry(order.worker).or_default();
         let key = (name(&order.task), order.run);
         match &order.kind {
             OrderKind::Start { saved, .. } => {
@@ -191,13 +191,13 @@
             if orders.is_empty() {
                 return;
             }
-            orders.iter().for_each(|order| self.obey(order));
+            orders.iter().for_each(|order| self.execute(order));
         }
     }
 
     /// Ends a run at its worker.
     pub fn end(&mut self, worker: WorkerIndex, task: &TaskKey, run: u32, cause: EndCause) {
-        let far = self.far.entry(worker).or_default();
+        let far = self.workers.entry(worker).or_default();
         let row = far.running.remove(&(name(task), run));
         far.number += 1;
         let saved = row.map(|row| row.saved).unwrap_or_default();
@@ -211,9 +211,9 @@
 
     /// Polls one worker with a call that was sent earlier.
     pub fn poll_sent(&mut self, worker: WorkerIndex, sent_us: u64) {
-        self.pass_ms(1);
+        self.advance_ms(1);
         let acked = self.fleet.acked_end(worker);
-        let far = self.far.entry(worker).or_default();
+        let far = self.workers.entry(worker).or_default();
         far.ended.retain(|end| end.number > acked);
         let poll = Poll {
             sent_us,
@@ -227,13 +227,13 @@
 
     /// Polls all workers.
     pub fn poll_all(&mut self) {
-        let workers: Vec<WorkerIndex> = self.far.keys().copied().collect();
+        let workers: Vec<WorkerIndex> = self.workers.keys().copied().collect();
         workers.into_iter().for_each(|worker| self.poll(worker));
     }
 
     /// Where runs of a job's tasks are present, by worker.
     pub fn present(&self, job: &str) -> Vec<(WorkerIndex, TaskKey, u32)> {
-        self.far
+        self.workers
             .iter()
             .flat_map(|(worker, far)| {
                 far.running
@@ -254,7 +254,7 @@
                 .map(|(text, revision)| (serde_json::from_str(text).unwrap(), *revision));
             fleet.restore(spec.clone(), record, self.now_us);
         }
-        fleet.restored(ORPHAN_MS, self.now_us);
+        fleet.finish_restore(ORPHAN_MS, self.now_us);
         for entry in entries {
             fleet.worker_listed(entry, self.now_us);
         }
--- a/crates/agatesill_policy/tests/fleet_support/world.rs
+++ b/crates/agatesill_policy/tests/fleet_support/simulation.rs
@@ -247,7 +247,7 @@
         for spec in specs {
             fleet.restore(spec.clone(), self.records.get(&spec.id).cloned(), self.now_us);
         }
-        fleet.restored(0, self.now_us);
+        fleet.finish_restore(0, self.now_us);
         self.fleet = fleet;
         self.is_planning = true;
         self.list_all();
@@ -271,7 +271,7 @@
             );
         }
         drop(self.fleet.take_acked());
-        drop(self.fleet.take_gone());
+        drop(self.fleet.take_terminated());
         for order in self.fleet.take_orders() {
             self.schedule(ROUND_TRIP_US / 2, Event::Arrives(order));
         }
@@ -331,7 +331,7 @@
         let machine = &mut self.machines[at];
         match &order.kind {
             OrderKind::Start { .. } => {
-                let used = machine.used.plus(&step.charge());
+                let used = machine.used.plus(&step.allocation());
                 if !machine.entry.capacity.holds(&used) {
                     return OrderOutcome::NoRoom;
                 }
@@ -341,7 +341,7 @@
                 machine.runs.push(Run {
                     task: order.task.clone(),
                     run: order.run,
-                    cpu: step.charge(),
+                    cpu: step.allocation(),
                     is_lasting: step.is_lasting,
                     began_us: at_us,
                     ends_us: at_us + lasts_us,
--- a/crates/agatesill_policy/tests/fleet_takeover.rs
+++ b/crates/agatesill_policy/tests/fleet_takeover.rs
@@ -5,13 +5,13 @@
 use agatesill_policy::fleet::{
     EndCause, JobPhase, OrderKind, Poll, Step, WorkerEntry, WorkerStanding,
 };
-use fleet_support::{MS, Rig, entry, job, step};
+use fleet_support::{Harness, MS, entry, job, step};
 
 /// The planner dies with a task running. Its successor finds the run on the worker's list and keeps
 /// it; a second run elsewhere would send two limits to one policyholder.
 #[test]
 fn what_runs_is_adopted_and_not_started_again() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     let spec = job("j", vec![step(1)]);
     rig.fleet.accept(spec.clone(), rig.now_us);
     rig.settle();
@@ -31,7 +31,7 @@
 /// higher epoch, shows no run and bars the old order for good, so the task starts again at once.
 #[test]
 fn a_start_that_was_recorded_and_never_sent_is_made_good_after_the_first_look() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let spec = job("j", vec![step(1)]);
     rig.fleet.accept(spec.clone(), rig.now_us);
     assert_eq!(rig.plan().len(), 1, "this order is lost with the planner");
@@ -47,7 +47,7 @@
 /// until shortly before; only after the longest one may its task start elsewhere.
 #[test]
 fn a_task_on_a_silent_worker_waits_for_the_longest_lease_of_the_owner_before() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     let spec = job("j", vec![step(1)]);
     rig.fleet.accept(spec.clone(), rig.now_us);
     rig.settle();
@@ -74,7 +74,7 @@
 /// missing for thirteen seconds.
 #[test]
 fn the_long_wait_ends_with_the_first_answer() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
     let spec = job("j", vec![Step { is_lasting: true, ..step(1) }]);
     rig.fleet.accept(spec.clone(), rig.now_us);
     rig.settle();
@@ -84,7 +84,7 @@
     let id = rig.fleet.worker(worker).entry.id.clone();
     rig.fleet.worker_unlisted(&id);
     rig.fleet.worker_silent(worker, rig.now_us);
-    rig.pass_ms(5_600);
+    rig.advance_ms(5_600);
     rig.fleet.expire_workers(rig.now_us, rig.now_us);
     let orders = rig.plan();
     assert!(orders.iter().any(|order| matches!(order.kind, OrderKind::Start { .. })), "{orders:?}");
@@ -94,7 +94,7 @@
 /// phase from the record and must still stop what runs.
 #[test]
 fn what_runs_of_a_cancelled_job_is_stopped_by_the_successor() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let spec = job("j", vec![step(1)]);
     rig.fleet.accept(spec.clone(), rig.now_us);
     rig.settle();
@@ -102,7 +102,7 @@
     rig.commit();
     rig.fleet = rig.successor(&[spec], vec![entry("w1", "r1-1")]);
     rig.poll_all();
-    rig.pass_ms(2_000);
+    rig.advance_ms(2_000);
     rig.poll_all();
     let orders = rig.plan();
     assert!(orders.iter().any(|order| order.kind == OrderKind::Stop));
@@ -114,7 +114,7 @@
 /// of its three attempts.
 #[test]
 fn a_failure_that_is_listed_again_counts_once() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     let spec = job("j", vec![step(1)]);
     rig.fleet.accept(spec.clone(), rig.now_us);
     rig.settle();
@@ -138,7 +138,7 @@
         let crashed = WorkerEntry { revision: 10, ..entry("w1", "r1-1") };
         let current = WorkerEntry { id: "w1-again".to_owned(), revision: 20, ..crashed.clone() };
         let unrelated = WorkerEntry { revision: 15, ..entry("w22", "r1-1") };
-        let mut rig = Rig::new(vec![current.clone()]);
+        let mut rig = Harness::new(vec![current.clone()]);
         let spec = job("j", vec![step(1)]);
         rig.fleet.accept(spec.clone(), rig.now_us);
         rig.settle();
@@ -149,8 +149,8 @@
         rig.fleet = rig.successor(&[spec], entries);
         let (index, _) =
             rig.fleet.live_workers().find(|(_, worker)| worker.entry.id == current.id).unwrap();
-        let far = rig.far.remove(&0).unwrap();
-        rig.far.insert(index, far);
+        let far = rig.workers.remove(&0).unwrap();
+        rig.workers.insert(index, far);
         rig.orders.clear();
         rig.poll(index);
         rig.settle();
@@ -163,14 +163,14 @@
 /// Guards against leases taken for ended while an answer that may have renewed them waits.
 #[test]
 fn a_lease_is_not_over_while_older_answers_wait() {
-    let mut rig = Rig::new(vec![entry("w1", "r1-1")]);
+    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
     rig.fleet.accept(job("j", vec![step(1)]), rig.now_us);
     rig.settle();
     rig.poll_all();
     rig.fleet.worker_unlisted("w1");
     rig.fleet.worker_silent(0, rig.now_us);
     let as_of_us = rig.now_us;
-    rig.pass_ms(20_000);
+    rig.advance_ms(20_000);
     rig.fleet.expire_workers(as_of_us, rig.now_us);
     assert_eq!(rig.fleet.worker(0).standing, WorkerStanding::Silent);
     rig.fleet.expire_workers(rig.now_us, rig.now_us);
--- a/crates/agatesill_policy/tests/fleet_zones.rs
+++ b/crates/agatesill_policy/tests/fleet_zones.rs
@@ -6,7 +6,7 @@
 use agatesill_policy::fleet::{
     ClosedZone, EndCause, JobPhase, Order, OrderKind, OrderOutcome, Step, WorkerEntry, WorkerIndex,
 };
-use fleet_support::{MS, Rig, entry, job, step};
+use fleet_support::{Harness, MS, entry, job, step};
 
 /// Workers 0 and 1 are in zone `a`, 2 and 3 in zone `b`.
 fn two_zones() -> Vec<WorkerEntry> {
@@ -22,11 +22,11 @@
     ClosedZone { zone: zone.to_owned(), revision }
 }
 
-fn zone_of(rig: &Rig, worker: WorkerIndex) -> &str {
+fn zone_of(rig: &Harness, worker: WorkerIndex) -> &str {
     &rig.fleet.worker(worker).entry.zone
 }
 
-fn started_in<'a>(rig: &'a Rig, orders: &[Order]) -> Vec<&'a str> {
+fn started_in<'a>(rig: &'a Harness, orders: &[Order]) -> Vec<&'a str> {
     orders
         .iter()
         .filter(|order| matches!(order.kind, OrderKind::Start { .. }))
@@ -42,7 +42,7 @@
 /// Guards against new work in a zone that operators evacuate.
 #[test]
 fn nothing_starts_in_a_closed_zone() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("a", 5), rig.now_us);
     rig.fleet.accept(job("j", vec![whole_worker(4)]), rig.now_us);
     let orders = rig.plan();
@@ -55,7 +55,7 @@
 /// Guards against a start whose record was on its way as the zone was closed.
 #[test]
 fn a_start_that_is_recorded_but_not_sent_goes_elsewhere() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("b", 5), rig.now_us);
     rig.fleet.accept(job("j", vec![whole_worker(2)]), rig.now_us);
     rig.fleet.plan(rig.now_us, rig.now_us / MS);
@@ -73,7 +73,7 @@
 /// Guards against a record that names a start in a closed zone after its choice was withdrawn.
 #[test]
 fn a_record_names_only_zones_in_which_starts_follow() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.accept(job("j", vec![whole_worker(4)]), rig.now_us);
     rig.settle();
     rig.fleet.close_zone(&closed("a", 5), rig.now_us);
@@ -89,7 +89,7 @@
 /// Guards against a start that is sent again into a closed zone because its answer was lost.
 #[test]
 fn an_unanswered_start_is_barred_instead_of_repeated() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("b", 5), rig.now_us);
     rig.fleet.accept(job("j", vec![whole_worker(1)]), rig.now_us);
     let start = rig.plan().remove(0);
@@ -98,8 +98,8 @@
     rig.fleet.order_answered(&start, OrderOutcome::Unanswered, rig.now_us);
     let orders = rig.plan();
     assert!(matches!(orders[0].kind, OrderKind::Stop) && orders[0].worker == start.worker);
-    rig.obey(&orders[0]);
-    rig.pass_ms(5);
+    rig.execute(&orders[0]);
+    rig.advance_ms(5);
     rig.poll_all();
     let orders = rig.plan();
     assert_eq!(started_in(&rig, &orders), ["b"]);
@@ -108,7 +108,7 @@
 /// Guards against a start that is withheld at the last moment and then lost.
 #[test]
 fn a_withheld_start_is_placed_elsewhere_and_closes_no_worker() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("b", 5), rig.now_us);
     rig.fleet.accept(job("j", vec![whole_worker(1)]), rig.now_us);
     let start = rig.plan().remove(0);
@@ -123,7 +123,7 @@
 /// Guards against a gang of which some members start and the others wait.
 #[test]
 fn a_gang_is_withdrawn_as_a_whole() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     let gang = Step { is_gang: true, ..whole_worker(2) };
     let three = Step { is_gang: true, ..whole_worker(3) };
     rig.fleet.accept(job("j", vec![three]), rig.now_us);
@@ -141,7 +141,7 @@
 /// Guards against lasting tasks that are stopped with their zone, or come back into it.
 #[test]
 fn lasting_tasks_stay_and_come_back_elsewhere() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("b", 5), rig.now_us);
     rig.fleet.accept(job("j", vec![Step { is_lasting: true, ..whole_worker(2) }]), rig.now_us);
     rig.settle();
@@ -153,7 +153,7 @@
     assert_eq!(zone_of(&rig, worker), "a");
     rig.end(worker, &task, run, EndCause::Failed);
     rig.poll_all();
-    rig.pass_ms(3_000);
+    rig.advance_ms(3_000);
     let orders = rig.plan();
     assert_eq!(started_in(&rig, &orders), ["b"]);
 }
@@ -161,12 +161,12 @@
 /// Guards against a lasting task that takes a worker of a closed zone because it has waited for long.
 #[test]
 fn long_waits_open_no_closed_zone() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("a", 5), rig.now_us);
     rig.fleet.close_zone(&closed("b", 6), rig.now_us);
     rig.fleet.accept(job("j", vec![Step { is_lasting: true, ..step(2) }]), rig.now_us);
     for _ in 0..20 {
-        rig.pass_ms(1_000);
+        rig.advance_ms(1_000);
         rig.poll_all();
         assert!(rig.plan().is_empty());
     }
@@ -175,11 +175,11 @@
 /// Guards against a job that may run in one zone only and is lost or failed while it is closed.
 #[test]
 fn a_job_that_may_run_nowhere_else_waits_for_its_zone() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("a", 5), rig.now_us);
     let only_there = Step { label: "r-a".to_owned(), ..step(2) };
     rig.fleet.accept(job("j", vec![only_there]), rig.now_us);
-    rig.pass_ms(30_000);
+    rig.advance_ms(30_000);
     rig.poll_all();
     assert!(rig.plan().is_empty());
     assert_eq!(rig.fleet.state_of("j"), Some((JobPhase::Active, false)));
@@ -192,7 +192,7 @@
 /// Guards against work that waits for the rack of its data while that rack's zone is closed.
 #[test]
 fn work_near_data_in_a_closed_zone_runs_elsewhere() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("a", 5), rig.now_us);
     let near = Step { data_rack: "r-a".to_owned(), ..step(2) };
     rig.fleet.accept(job("j", vec![near]), rig.now_us);
@@ -203,7 +203,7 @@
 /// Guards against a worker that registers anew in a closed zone and gets work.
 #[test]
 fn a_worker_that_comes_into_a_closed_zone_takes_nothing() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("a", 5), rig.now_us);
     let late = WorkerEntry {
         address: "10.0.1.99:80".to_owned(),
@@ -221,7 +221,7 @@
 /// Guards against a successor that starts work before it knows the closed zones.
 #[test]
 fn a_successor_keeps_zones_closed_from_its_first_start() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     let spec = job("j", vec![whole_worker(4)]);
     rig.fleet = rig.successor(std::slice::from_ref(&spec), Vec::new());
     rig.fleet.set_closed_zones(&[closed("a", 5)], 9, rig.now_us);
@@ -236,7 +236,7 @@
 /// Guards against late news of an earlier opening that opens a zone closed again since.
 #[test]
 fn older_news_opens_no_zone() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("a", 20), rig.now_us);
     rig.fleet.open_zone("a", 15);
     assert!(rig.fleet.is_zone_closed("a"));
@@ -249,7 +249,7 @@
 /// Guards against a write or a removal that a watch missed: a whole reading puts both right.
 #[test]
 fn a_whole_reading_closes_and_opens() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     rig.fleet.close_zone(&closed("a", 5), rig.now_us);
     rig.fleet.set_closed_zones(&[closed("b", 8)], 9, rig.now_us);
     assert!(!rig.fleet.is_zone_closed("a"));
@@ -259,7 +259,7 @@
 /// Guards against a rush of urgent work onto workers that are cold after their zone was closed.
 #[test]
 fn urgent_work_takes_cold_workers_last() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     for mut cold in two_zones().into_iter().take(2) {
         cold.cold_ms = 4_000;
         rig.list(cold);
@@ -275,7 +275,7 @@
 /// Guards against a cold worker that is closed for being slow.
 #[test]
 fn a_cold_worker_is_not_judged_slow() {
-    let mut rig = Rig::new(two_zones());
+    let mut rig = Harness::new(two_zones());
     for mut cold in two_zones().into_iter().take(2) {
         cold.cold_ms = 60_000;
         rig.list(cold);
@@ -284,8 +284,8 @@
     rig.fleet.accept(job("j", vec![urgent]), rig.now_us);
     rig.settle();
     for round in 1..20 {
-        rig.pass_ms(200);
-        for (worker, far) in &mut rig.far {
+        rig.advance_ms(200);
+        for (worker, far) in &mut rig.workers {
             let gain = if *worker < 2 { 1 } else { 5 };
             far.running.values_mut().for_each(|row| row.percent = (round * gain).min(99));
         }
--- a/crates/agatesilld/src/fleet/front.rs
+++ b/crates/agatesilld/src/fleet/front.rs
@@ -88,7 +88,7 @@
             let is_new = write == FleetWrite::Stored;
             site.counts.accepted.fetch_add(1, Ordering::Relaxed);
             log::info!(event = "job_accepted", job = id, queue = queue.key.as_str(),
-                is_new = is_new, steps = spec.steps.len(), tasks = spec.tasks_a_round(); "");
+                is_new = is_new, steps = spec.steps.len(), tasks = spec.tasks_per_occurrence(); "");
             if is_new {
                 stored::tell_accepted(site, spec, value);
             }
--- a/crates/agatesilld/src/fleet/planner.rs
+++ b/crates/agatesilld/src/fleet/planner.rs
@@ -367,7 +367,7 @@
             }
             Event::Silent(worker, asked_us) => {
                 if let Some(asked_us) = asked_us {
-                    self.fleet.lease_asked(worker, asked_us);
+                    self.fleet.lease_requested(worker, asked_us);
                 }
                 self.fleet.worker_silent(worker, now_us);
             }
@@ -381,7 +381,7 @@
             }
             Event::Answered(order, outcome, asked_us) => {
                 if let Some(asked_us) = asked_us {
-                    self.fleet.lease_asked(order.worker, asked_us);
+                    self.fleet.lease_requested(order.worker, asked_us);
                 }
                 self.fleet.order_answered(&order, outcome, now_us);
                 if outcome == OrderOutcome::Fenced {
@@ -441,7 +441,7 @@
 
     fn registry(&mut self, entries: Vec<WorkerEntry>) {
         let present: HashSet<&str> = entries.iter().map(|entry| entry.id.as_str()).collect();
-        let listed = self.fleet.listed().into_iter();
+        let listed = self.fleet.listed_workers().into_iter();
         let missing: Vec<String> = listed.filter(|id| !present.contains(id.as_str())).collect();
         missing.iter().for_each(|id| self.fleet.worker_unlisted(id));
         entries.into_iter().for_each(|entry| self.listed(entry));
@@ -579,7 +579,7 @@
                 log::warn!(event = "advice_ring_full"; "{error}");
             }
         }
-        for worker in self.fleet.take_gone() {
+        for worker in self.fleet.take_terminated() {
             // It may have registered again meanwhile.
             if self.fleet.worker(worker).standing == WorkerStanding::Gone {
                 self.lines.close(worker);
--- a/crates/agatesilld/src/fleet/recovery.rs
+++ b/crates/agatesilld/src/fleet/recovery.rs
@@ -147,7 +147,7 @@
         }
     }
     cancels.into_iter().for_each(|id| fleet.cancel(id, now_us));
-    fleet.restored(orphan_ms, now_us);
+    fleet.finish_restore(orphan_ms, now_us);
 }
 
 async fn read(site: &Site, prefix: &str) -> StoreReply {
