--- a/crates/agatesill_policy/src/fleet/capacity_index.rs
+++ b/crates/agatesill_policy/src/fleet/capacity_index.rs
@@ -1,8 +1,9 @@
-//! The workers of each service in the order in which a task looks for room.
+//! Index of the workers of each service, in the order in which a search for free capacity examines
+//! them.
 //!
-//! Load pattern: hundreds of steps wait on a thousand workers that are nearly full, and thousands of
-//! tasks start each second. Were every worker examined for every task, planning would cost workers
-//! times starts. A bounded number of workers is examined instead, those that fit best first.
+//! Hundreds of steps wait on a thousand workers that are nearly full, and thousands of tasks start
+//! each second. If every worker were examined for every task, the cost of planning would grow with
+//! workers times starts. A search examines a bounded number of workers instead, best fit first.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,68 +13,70 @@
 use super::images::ImageId;
 use super::worker::{Worker, WorkerIndex};
 
-/// Most workers that are examined for one task.
-pub(super) const MOST_EXAMINED: usize = 128;
+/// Maximum number of workers examined for one task.
+pub(super) const MAX_EXAMINED: usize = 128;
 
-/// Most workers whose free resources are compared with the charge of a task in one search.
-const MOST_SCANNED: usize = 4_096;
+/// Maximum number of workers whose free resources are compared with an allocation in one search.
+const MAX_SCANNED: usize = 4_096;
 
-/// A label that no more workers than this have is searched worker by worker.
-const RARE_LABEL: usize = 512;
+/// If at most this many workers have a label, all of them are examined.
+const MAX_RARE_LABEL_WORKERS: usize = 512;
 
-/// Where a worker stands in the orders of its service.
+/// Sort keys of a worker among the workers of its service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Place {
     service: usize,
     free: Resources,
-    /// How crowded it is for tasks that fill; `None` while it takes none.
+    /// How crowded the worker is for best-effort tasks; `None` while it takes none.
     crowding: Option<u32>,
 }
 
 #[derive(Debug, Default)]
-struct ServiceRooms {
+struct ServiceWorkers {
     by_free: BTreeSet<(u64, WorkerIndex)>,
     by_crowding: BTreeSet<(u32, WorkerIndex)>,
     by_label: HashMap<String, BTreeSet<WorkerIndex>>,
-    /// Where the search for tasks with reserved processors goes on after one that found nothing.
-    resume_reserved: Option<(u64, WorkerIndex)>,
-    /// Where the search for each filling image goes on after one that found nothing.
-    resume: HashMap<ImageId, (u32, WorkerIndex)>,
+    /// Where the search for reserved CPU continues after one that found no worker.
+    reserved_cursor: Option<(u64, WorkerIndex)>,
+    /// Where the search for each best-effort image continues after one that found no worker.
+    best_effort_cursors: HashMap<ImageId, (u32, WorkerIndex)>,
 }
 
-/// The workers that answer, are registered and stay, by service and room.
+/// Available workers by service and free capacity.
 #[derive(Debug, Default)]
 pub(super) struct CapacityIndex {
-    numbers: BTreeMap<String, usize>,
-    services: Vec<ServiceRooms>,
+    service_numbers: BTreeMap<String, usize>,
+    services: Vec<ServiceWorkers>,
     places: Vec<Option<Place>>,
 }
 
 impl CapacityIndex {
-    /// Takes in a worker as it is now; called after every change of its room, tails or standing.
+    /// Updates the position of a worker. Must be called after every change of its free capacity,
+    /// tail response times or liveness.
     pub fn update(&mut self, index: WorkerIndex, worker: &Worker) {
         let place = worker.is_available().then(|| self.place_of(worker));
         if self.places.len() <= index as usize {
             self.places.resize(index as usize + 1, None);
         }
-        let before = std::mem::replace(&mut self.places[index as usize], place);
-        if before == place {
+        let previous = std::mem::replace(&mut self.places[index as usize], place);
+        if previous == place {
             return;
         }
-        if let Some(before) = before {
-            self.remove(index, before);
+        if let Some(previous) = previous {
+            self.remove(index, previous);
         }
         if let Some(place) = place {
             self.insert(index, place);
         }
-        match (before, place) {
+        match (previous, place) {
             (None, Some(place)) => self.services[place.service].label(index, worker),
-            (Some(before), None) => self.services[before.service].unlabel(index, worker),
+            (Some(previous), None) => self.services[previous.service].unlabel(index, worker),
             _ => {}
         }
     }
 
-    /// Takes a worker out of all orders, before its entry changes in what it is ordered by.
+    /// Removes a worker from the index, before a change of the entry fields that determine its
+    /// position.
     pub fn withdraw(&mut self, index: WorkerIndex, worker: &Worker) {
         let place = self.places.get_mut(index as usize).and_then(Option::take);
         if let Some(place) = place {
@@ -83,11 +86,11 @@
     }
 
     fn place_of(&mut self, worker: &Worker) -> Place {
-        let service = match self.numbers.get(&worker.entry.service) {
+        let service = match self.service_numbers.get(&worker.entry.service) {
             Some(number) => *number,
             None => {
-                self.services.push(ServiceRooms::default());
-                self.numbers.insert(worker.entry.service.clone(), self.services.len() - 1);
+                self.services.push(ServiceWorkers::default());
+                self.service_numbers.insert(worker.entry.service.clone(), self.services.len() - 1);
                 self.services.len() - 1
             }
         };
@@ -110,77 +113,83 @@
         }
     }
 
-    fn service(&self, name: &str) -> Option<&ServiceRooms> {
-        self.numbers.get(name).map(|number| &self.services[*number])
+    fn service(&self, name: &str) -> Option<&ServiceWorkers> {
+        self.service_numbers.get(name).map(|number| &self.services[*number])
     }
 
-    /// Workers with room for `charge`, those with the fewest free processors first, from where the
-    /// last search gave up. Workers that lack memory or accelerators are skipped, since they could
-    /// otherwise make up all of the [`MOST_EXAMINED`].
-    pub fn tightest_fit(&self, service: &str, charge: &Resources) -> Vec<WorkerIndex> {
+    /// Returns workers with capacity for `allocation`, those with the least free CPU first, from
+    /// where the last search gave up. Workers that lack memory or accelerators are skipped, since
+    /// they could otherwise use up [`MAX_EXAMINED`].
+    pub fn tightest_fit(&self, service: &str, allocation: &Resources) -> Vec<WorkerIndex> {
         let Some(service) = self.service(service) else { return Vec::new() };
-        let has_capacity_for = |index: &WorkerIndex| self.has_capacity_for(*index, charge);
-        let scanned = service.workers_to_scan(charge).take(MOST_SCANNED).map(|(_, index)| *index);
-        scanned.filter(has_capacity_for).take(MOST_EXAMINED).collect()
+        let fits = |index: &WorkerIndex| self.has_capacity_for(*index, allocation);
+        let scanned =
+            service.workers_to_scan(allocation).take(MAX_SCANNED).map(|(_, index)| *index);
+        scanned.filter(fits).take(MAX_EXAMINED).collect()
     }
 
-    fn has_capacity_for(&self, index: WorkerIndex, charge: &Resources) -> bool {
-        self.places[index as usize].is_some_and(|place| place.free.holds(charge))
+    fn has_capacity_for(&self, index: WorkerIndex, allocation: &Resources) -> bool {
+        self.places[index as usize].is_some_and(|place| place.free.holds(allocation))
     }
 
-    /// Notes that no worker was found for a task with this charge: the next search goes on after
-    /// those that were scanned, and begins anew after the last.
-    pub fn record_no_capacity(&mut self, service: &str, charge: &Resources) {
-        let Some(number) = self.numbers.get(service) else { return };
+    /// Records that no worker was found for an allocation. The next search continues after the
+    /// scanned workers and wraps around after the last.
+    pub fn record_no_capacity(&mut self, service: &str, allocation: &Resources) {
+        let Some(number) = self.service_numbers.get(service) else { return };
         let service = &mut self.services[*number];
-        let next = service.workers_to_scan(charge).nth(MOST_SCANNED).copied();
-        service.resume_reserved = next;
+        let next = service.workers_to_scan(allocation).nth(MAX_SCANNED).copied();
+        service.reserved_cursor = next;
     }
 
-    /// Workers that take tasks that fill, the least crowded first, from where the last search for this
-    /// image gave up.
+    /// Returns workers that take best-effort tasks, the least crowded first, from where the last
+    /// search for this image gave up.
     pub fn least_crowded(&self, service: &str, image: ImageId) -> Vec<WorkerIndex> {
         let Some(service) = self.service(service) else { return Vec::new() };
-        let from = service.resume.get(&image).copied().unwrap_or((0, 0));
-        service.by_crowding.range(from..).map(|(_, index)| *index).take(MOST_EXAMINED).collect()
+        let from = service.best_effort_cursors.get(&image).copied().unwrap_or((0, 0));
+        service.by_crowding.range(from..).map(|(_, index)| *index).take(MAX_EXAMINED).collect()
     }
 
-    /// Notes that none of these workers takes a task of the image: the next search goes on after
-    /// them, and begins anew after the last.
+    /// Records that none of the examined workers takes a task of the image. The next search
+    /// continues after them and wraps around after the last.
     ///
-    /// Guards against an image that harms what serves on the emptiest workers: they stay the
-    /// emptiest, and a search that always began with them would never see another.
+    /// Guards against an image that harms the serving tasks on the emptiest workers: they stay the
+    /// emptiest, and a search that always began with them would never reach another worker.
     pub fn record_no_match(&mut self, service: &str, image: ImageId, examined: &[WorkerIndex]) {
-        let Some(number) = self.numbers.get(service) else { return };
-        let last = examined.last().filter(|_| examined.len() == MOST_EXAMINED);
+        let Some(number) = self.service_numbers.get(service) else { return };
+        let last = examined.last().filter(|_| examined.len() == MAX_EXAMINED);
         let place = last.and_then(|index| Some((*index, self.places[*index as usize]?.crowding?)));
-        let resume = &mut self.services[*number].resume;
+        let cursors = &mut self.services[*number].best_effort_cursors;
         match place {
-            Some((index, crowding)) => drop(resume.insert(image, (crowding, index + 1))),
-            None => drop(resume.remove(&image)),
+            Some((index, crowding)) => drop(cursors.insert(image, (crowding, index + 1))),
+            None => drop(cursors.remove(&image)),
         }
     }
 
-    /// Workers with a label. Where most have it, the tightest among them.
-    pub fn with_label(&self, service: &str, label: &str, charge: &Resources) -> Vec<WorkerIndex> {
+    /// Returns workers with a label; if many have it, those with the tightest fit.
+    pub fn with_label(
+        &self,
+        service: &str,
+        label: &str,
+        allocation: &Resources,
+    ) -> Vec<WorkerIndex> {
         let Some(service) = self.service(service) else { return Vec::new() };
         let Some(labelled) = service.by_label.get(label) else { return Vec::new() };
-        if labelled.len() <= RARE_LABEL {
+        if labelled.len() <= MAX_RARE_LABEL_WORKERS {
             return labelled.iter().copied().collect();
         }
-        let by_free = service.by_free.range((charge.cpu_milli, 0)..).map(|(_, index)| *index);
+        let by_free = service.by_free.range((allocation.cpu_milli, 0)..).map(|(_, index)| *index);
         by_free
-            .filter(|index| labelled.contains(index) && self.has_capacity_for(*index, charge))
-            .take(MOST_EXAMINED)
+            .filter(|index| labelled.contains(index) && self.has_capacity_for(*index, allocation))
+            .take(MAX_EXAMINED)
             .collect()
     }
 }
 
-impl ServiceRooms {
-    /// Workers with enough free processors for `charge`, the fewest first, from where the last
-    /// search gave up.
-    fn workers_to_scan(&self, charge: &Resources) -> impl Iterator<Item = &(u64, WorkerIndex)> {
-        let from = self.resume_reserved.unwrap_or_default().max((charge.cpu_milli, 0));
+impl ServiceWorkers {
+    /// Iterates over workers with enough free CPU for `allocation`, the least free first, from
+    /// where the last search gave up.
+    fn workers_to_scan(&self, allocation: &Resources) -> impl Iterator<Item = &(u64, WorkerIndex)> {
+        let from = self.reserved_cursor.unwrap_or_default().max((allocation.cpu_milli, 0));
         self.by_free.range(from..)
     }
 
--- a/crates/agatesill_policy/src/fleet/images.rs
+++ b/crates/agatesill_policy/src/fleet/images.rs
@@ -1,14 +1,14 @@
-//! Short names for images, so that the search for a worker compares numbers.
+//! Numbers for images, so that the search for a worker compares numbers instead of names.
 
 use std::collections::HashMap;
 
-/// An image by number.
+/// Number of an image.
 pub type ImageId = u16;
 
-/// The image of steps that name none.
+/// Number for steps that name no image.
 pub const NO_IMAGE: ImageId = 0;
 
-/// All images seen.
+/// All images seen so far, by name and number.
 #[derive(Debug, Default)]
 pub struct Images {
     by_name: HashMap<String, ImageId>,
@@ -16,7 +16,7 @@
 }
 
 impl Images {
-    /// The number of an image. Beyond 65,535 images all further ones share the last.
+    /// Returns the number of an image. Beyond 65,535 images all further ones share the last number.
     pub fn number(&mut self, name: &str) -> ImageId {
         if name.is_empty() {
             return NO_IMAGE;
@@ -30,21 +30,21 @@
         number
     }
 
-    /// The name of an image; empty for [`NO_IMAGE`].
+    /// Returns the name of an image; empty for [`NO_IMAGE`].
     pub fn name(&self, image: ImageId) -> &str {
         let index = usize::from(image).checked_sub(1);
         index.and_then(|index| self.names.get(index)).map_or("", String::as_str)
     }
 }
 
-/// Tasks by image on one worker; a handful, so a list.
+/// Number of tasks by image on one worker. There are only a few images, so a list is enough.
 #[derive(Clone, Debug, Default)]
 pub struct ImageCounts {
     counts: Vec<(ImageId, u32)>,
 }
 
 impl ImageCounts {
-    /// Counts one more task; true if it is the first of its image.
+    /// Counts one more task. Returns true if it is the first of its image.
     pub fn add(&mut self, image: ImageId) -> bool {
         if let Some((_, count)) = self.counts.iter_mut().find(|(other, _)| *other == image) {
             *count += 1;
@@ -54,7 +54,7 @@
         true
     }
 
-    /// Counts one task less; true if it was the last of its image.
+    /// Counts one task less. Returns true if it was the last of its image.
     pub fn remove(&mut self, image: ImageId) -> bool {
         let Some(place) = self.counts.iter().position(|(other, _)| *other == image) else {
             return false;
@@ -67,12 +67,12 @@
         is_last
     }
 
-    /// Tasks of one image.
+    /// Number of tasks of one image.
     pub fn of(&self, image: ImageId) -> u32 {
         self.counts.iter().find(|(other, _)| *other == image).map_or(0, |(_, count)| *count)
     }
 
-    /// The images.
+    /// Iterates over the images.
     pub fn iter(&self) -> impl Iterator<Item = ImageId> + '_ {
         self.counts.iter().map(|(image, _)| *image)
     }
--- a/crates/agatesill_policy/src/fleet/mod.rs
+++ b/crates/agatesill_policy/src/fleet/mod.rs
@@ -1,30 +1,30 @@
-//! Jobs of several steps on a fleet of shared workers: the decisions, as a state machine.
+//! Scheduling decisions for multi-step jobs on a fleet of shared workers, as a state machine.
 //!
-//! [`Fleet`] takes in what happened (a job was accepted, a worker answered, a record was committed)
-//! and gives out what to do: records to commit ([`JobWrite`]) and [`Order`]s to workers, a start only
-//! after the record that names it is committed. It knows no network, clock or store; all times are microseconds on the caller's
-//! monotonic clock unless a name says otherwise.
+//! [`Fleet`] consumes events (a job was accepted, a worker answered a poll, a record was committed)
+//! and produces actions: records to commit ([`JobWrite`]) and [`Order`]s for workers. A start is
+//! ordered only after the record that names it is committed. The module uses no network, clock or
+//! store. All times are microseconds on the caller's monotonic clock unless a name says otherwise.
 
 mod advice;
 mod ages;
-mod answers;
 mod capacity_index;
 mod colocation;
 mod comeback;
 mod crashes;
 mod effort;
-mod ended;
-mod ends;
 mod images;
 mod job;
 mod longest_wait;
+mod order_outcomes;
 mod orders;
 mod place;
 mod plan;
+mod polls;
 mod preempt;
 mod ranking;
 mod record;
 mod registry;
+mod retention;
 mod slow;
 mod state;
 mod takeover;
@@ -53,13 +53,13 @@
 use crate::value_type;
 
 value_type! {
-    /// Bounds that the platform states; the decisions keep within them.
+    /// Limits set by the platform, within which all decisions stay.
     pub struct FleetBounds {
         /// Longest lease that a worker grants.
         pub lease_max_ms: u64,
-        /// How long a serving task may stay over its target beside tasks that fill.
+        /// How long a serving task may exceed its latency target beside best-effort tasks.
         pub harm_ms: u64,
-        /// How long after a worker announced that it leaves it may still get starts.
+        /// How long a worker may still receive starts after it announced that it is leaving.
         pub drain_ms: u64,
     }
 }
--- a/crates/agatesill_policy/src/fleet/orders.rs
+++ b/crates/agatesill_policy/src/fleet/orders.rs
@@ -1,32 +1,32 @@
-//! What the ledger asks its surroundings to do, and how that went.
+//! Actions that the ledger requests, and their outcomes.
 
 use super::job::{JobId, TaskKey, TaskRef};
 use super::record::ProgressRecord;
 use super::worker::WorkerIndex;
 
-/// What a worker is told about one run.
+/// Action on one run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderKind {
-    /// Start it.
+    /// Start the run.
     Start {
-        /// What the task is told to do.
+        /// Instructions passed to the task.
         payload: String,
-        /// Checkpoint to resume from; empty if there is none.
+        /// Checkpoint from which to resume; empty if there is none.
         saved: String,
-        /// Leave of the advice service; empty where the queue needs none.
+        /// Ticket from the advice service; empty if the queue needs none.
         ticket: String,
     },
-    /// Stop it, and never start it.
+    /// Stop the run and bar it from starting.
     Stop,
-    /// Let it use this share of its processor time.
+    /// Limit the run's share of CPU time.
     Pace {
-        /// The share.
+        /// Share in percent.
         percent: u32,
     },
 }
 
 impl OrderKind {
-    /// Its name in logs and metrics.
+    /// Name used in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             OrderKind::Start { .. } => "start",
@@ -39,61 +39,61 @@
 /// An order to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// The worker.
+    /// Worker that receives the order.
     pub worker: WorkerIndex,
-    /// The task's place in the ledger.
-    pub at: TaskRef,
-    /// The task.
+    /// Location of the task in the ledger.
+    pub task_ref: TaskRef,
+    /// Key of the task.
     pub task: TaskKey,
-    /// Its run.
+    /// Run number.
     pub run: u32,
-    /// What to do.
+    /// Requested action.
     pub kind: OrderKind,
-    /// When it was decided.
+    /// When the order was decided.
     pub decided_us: u64,
 }
 
-/// How an order went.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Carried out, now or by an earlier call.
+    /// Carried out, by this call or an earlier one.
     Done,
     /// The worker has seen a higher epoch.
     Fenced,
-    /// The run, or a later one, has ended there.
+    /// The run, or a later one, has ended on the worker.
     Old,
-    /// The lease had passed when the order came.
+    /// The lease had expired when the order arrived.
     Late,
-    /// It does not fit.
+    /// The worker has too little free capacity.
     NoRoom,
-    /// The advice ticket does not hold.
+    /// The advice ticket is not valid.
     NoTicket,
-    /// The worker is unhealthy and has done nothing.
+    /// The worker is unhealthy and did not act.
     Refused,
-    /// It was not sent: the worker leaves or its zone takes no new work.
+    /// The order was not sent: the worker is leaving, or its zone is closed.
     Withheld,
-    /// The worker calls the order malformed.
+    /// The worker rejected the order as malformed.
     Malformed,
-    /// Another incarnation of the worker answers at the address.
+    /// Another incarnation of the worker answered at the address.
     OtherIncarnation,
-    /// No answer; it may have been carried out, or may be later.
+    /// No answer. The order may have been carried out, or may be carried out later.
     Unanswered,
 }
 
-/// A record to write.
+/// A record to write to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobWrite {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// Its slot in the ledger.
+    /// Slot of the job in the ledger.
     pub slot: u32,
-    /// Version that the record was made of.
+    /// Version of the job from which the record was built.
     pub version: u64,
-    /// Revision that its key must have; 0 means that there is none yet.
+    /// Revision that the key must have; 0 if there must be no record yet.
     pub revision: u64,
-    /// The record.
+    /// Contents of the record.
     pub record: ProgressRecord,
-    /// Availability zones in which starts follow the record: it may be stored only while all of them
-    /// take work.
+    /// Availability zones in which starts follow the record. It may be stored only while all of
+    /// them are open.
     pub zones: Vec<String>,
 }
--- /dev/null
+++ b/crates/agatesill_policy/src/fleet/polls.rs
@@ -0,0 +1,499 @@
+//! Answers of workers to polls: present runs, ended runs and terminated incarnations.
+
+use std::collections::HashSet;
+
+use super::US_PER_MS;
+use super::job::{JobPhase, TaskKey, TaskRef, TaskState};
+use super::orders::{Order, OrderKind};
+use super::state::Fleet;
+use super::worker::{EndCause, EndRow, Poll, RunRow, WorkerIndex, WorkerStanding};
+
+/// Maximum number of ends in one answer. A full list does not prove that a run missing from it is
+/// absent.
+const MAX_ENDS: usize = 500;
+
+/// Consecutive failed runs, of at least two jobs, after which a worker counts as faulty. Runs that
+/// fail by their own fault rarely follow one another so often.
+const QUARANTINE_FAILURES: usize = 3;
+
+/// Time after which the stop of a run that is still present is repeated; longer than a stop may
+/// take.
+const STOP_RETRY_INTERVAL_US: u64 = 1_200 * US_PER_MS;
+
+/// Time after which a start that was neither answered nor carried out is given up.
+const START_TIMEOUT_US: u64 = 2_500 * US_PER_MS;
+
+/// First quarantine of a faulty worker. Each further one is twice as long.
+const INITIAL_QUARANTINE_US: u64 = 4_000 * US_PER_MS;
+
+/// Maximum quarantine, so that a faulty worker is tried again eventually.
+const MAX_QUARANTINE_US: u64 = 30_000 * US_PER_MS;
+
+impl Fleet {
+    /// Applies a worker's answer to a poll.
+    pub fn polled(&mut self, index: WorkerIndex, poll: &Poll, now_us: u64) {
+        let lease_us = self.lease_us();
+        let worker = &mut self.workers[index as usize];
+        if worker.standing == WorkerStanding::Gone {
+            return;
+        }
+        if worker.standing == WorkerStanding::New {
+            // The worker ignores previous owners from here on. Any lease that they requested ends
+            // no later than one lease from now.
+            worker.lease_until_us = now_us + lease_us;
+        }
+        worker.standing = WorkerStanding::Good;
+        worker.unanswered_calls = 0;
+        worker.answered_us = now_us;
+        worker.clock_offset_ms = poll.clock_ms as i64 - (now_us / US_PER_MS) as i64;
+        self.worker_changed(index);
+        self.lease_requested(index, poll.sent_us);
+        for end in &poll.ended {
+            self.run_ended(index, end, now_us);
+        }
+        let present = self.apply_runs(index, &poll.running, now_us);
+        if poll.ended.len() < MAX_ENDS {
+            self.release_absent(index, &present, poll.sent_us, now_us);
+        }
+        self.watch_speed(index, now_us);
+        self.stop_stalled(index, now_us);
+        if self.workers[index as usize].entry.is_leaving {
+            self.evacuate(index, now_us);
+        }
+        self.balance(index, &poll.running, now_us);
+        self.worker_changed(index);
+    }
+
+    /// Newest end that the worker may discard.
+    pub fn acked_end(&self, worker: WorkerIndex) -> u64 {
+        self.workers[worker as usize].acked_end
+    }
+
+    /// Records that a call sent at `sent_us` requested a lease. The call may have arrived even if
+    /// it was not answered.
+    pub fn lease_requested(&mut self, index: WorkerIndex, sent_us: u64) {
+        let until_us = sent_us + self.lease_us();
+        let worker = &mut self.workers[index as usize];
+        worker.lease_until_us = worker.lease_until_us.max(until_us);
+    }
+
+    /// Records that a call to a worker was not answered.
+    pub fn worker_silent(&mut self, index: WorkerIndex, now_us: u64) {
+        let worker = &mut self.workers[index as usize];
+        if worker.standing == WorkerStanding::Gone {
+            return;
+        }
+        worker.unanswered_calls += 1;
+        if worker.standing == WorkerStanding::Good {
+            worker.standing = WorkerStanding::Silent;
+            log::warn!(event = "worker_silent", worker = worker.entry.id.as_str(),
+                last_answer_ms = now_us.saturating_sub(worker.answered_us) / US_PER_MS,
+                tasks = worker.tasks.len(); "");
+            self.record_silence(index, now_us);
+            self.worker_changed(index);
+        }
+    }
+
+    /// Marks a worker as terminated and releases its tasks, which start elsewhere.
+    pub fn worker_gone(&mut self, index: WorkerIndex, why: &str, now_us: u64) {
+        let worker = &mut self.workers[index as usize];
+        if worker.standing == WorkerStanding::Gone {
+            return;
+        }
+        worker.standing = WorkerStanding::Gone;
+        worker.is_listed = false;
+        self.terminated.push(index);
+        log::warn!(event = "worker_gone", worker = worker.entry.id.as_str(), why = why,
+            tasks = worker.tasks.len(); "");
+        self.worker_changed(index);
+        self.release_lost_runs(index, true, now_us);
+    }
+
+    /// Returns the workers that have terminated since the last call.
+    pub fn take_terminated(&mut self) -> Vec<WorkerIndex> {
+        std::mem::take(&mut self.terminated)
+    }
+
+    /// Terminates workers that are not listed and have been unresponsive past every lease that they
+    /// could have been granted. All answers received before `as_of_us` have been applied.
+    ///
+    /// Guards against a planner that lags: an answer that waits to be applied may have renewed a
+    /// lease.
+    pub fn expire_workers(&mut self, as_of_us: u64, now_us: u64) {
+        let expired: Vec<WorkerIndex> = self
+            .live_workers()
+            .filter(|(_, worker)| {
+                let is_unresponsive = worker.standing != WorkerStanding::Good;
+                is_unresponsive && !worker.is_listed && as_of_us > worker.lease_until_us
+            })
+            .map(|(index, _)| index)
+            .collect();
+        for index in expired {
+            self.worker_gone(index, "silent past its lease and not registered", now_us);
+        }
+        self.release_lapsed(as_of_us, now_us);
+    }
+
+    /// Releases the tasks of workers that are registered but unresponsive past their lease. Their
+    /// runs have lapsed, although the workers may still be running.
+    fn release_lapsed(&mut self, as_of_us: u64, now_us: u64) {
+        let lapsed: Vec<WorkerIndex> = self
+            .live_workers()
+            .filter(|(_, worker)| {
+                worker.standing != WorkerStanding::Good
+                    && as_of_us > worker.lease_until_us
+                    && !worker.tasks.is_empty()
+            })
+            .map(|(index, _)| index)
+            .collect();
+        for index in lapsed {
+            let worker = &self.workers[index as usize];
+            log::warn!(event = "worker_lapsed", worker = worker.entry.id.as_str(),
+                tasks = worker.tasks.len(); "");
+            self.release_lost_runs(index, false, now_us);
+        }
+    }
+
+    fn find(&self, task: &TaskKey) -> Option<TaskRef> {
+        let slot = self.by_id.get(&task.job).copied()?;
+        let place = self.job(slot)?.find(task.occurrence, task.step, task.index)?;
+        Some(TaskRef { job: slot, task: place })
+    }
+
+    fn run_ended(&mut self, index: WorkerIndex, end: &EndRow, now_us: u64) {
+        let worker = &mut self.workers[index as usize];
+        if end.number <= worker.applied_end {
+            return;
+        }
+        worker.applied_end = end.number;
+        let Some(task_ref) = self.find(&end.task) else {
+            // No state in the ledger depends on this end.
+            self.track_end(index, end.number, None);
+            return;
+        };
+        let changed = self.apply_end(index, task_ref, end, now_us);
+        if changed {
+            self.mark_dirty(task_ref.job, now_us);
+        }
+        self.track_end(index, end.number, Some(task_ref.job));
+    }
+
+    /// Records that an end may be acknowledged once the current version of the job is stored.
+    fn track_end(&mut self, index: WorkerIndex, number: u64, slot: Option<u32>) {
+        let version = slot.and_then(|slot| self.job(slot)).map_or(0, |job| job.version);
+        self.workers[index as usize].unacked.push_back((number, slot.unwrap_or(0), version));
+        self.advance_ack(index);
+        let is_acked = self.workers[index as usize].acked_end >= number;
+        if let Some(job) = slot.filter(|_| !is_acked).and_then(|slot| self.job_mut(slot)) {
+            if !job.unacked_workers.contains(&index) {
+                job.unacked_workers.push(index);
+            }
+        }
+    }
+
+    fn advance_ack(&mut self, index: WorkerIndex) {
+        while let Some((number, slot, version)) =
+            self.workers[index as usize].unacked.front().copied()
+        {
+            let committed = self.job(slot).map_or(u64::MAX, |job| job.committed);
+            if version > committed {
+                return;
+            }
+            let worker = &mut self.workers[index as usize];
+            worker.unacked.pop_front();
+            worker.acked_end = number;
+            self.acked.push(index);
+        }
+    }
+
+    /// Acknowledges the ends of a job whose effect is stored.
+    pub(super) fn acknowledge_ends(&mut self, slot: u32) {
+        let Some(job) = self.job_mut(slot) else { return };
+        let mut workers = std::mem::take(&mut job.unacked_workers);
+        workers.iter().for_each(|index| self.advance_ack(*index));
+        workers.retain(|index| {
+            self.workers[*index as usize].unacked.iter().any(|(_, job_slot, _)| *job_slot == slot)
+        });
+        if let Some(job) = self.job_mut(slot) {
+            job.unacked_workers = workers;
+        }
+    }
+
+    /// Returns the workers whose newest acknowledged end has changed since the last call.
+    pub fn take_acked(&mut self) -> Vec<WorkerIndex> {
+        let mut acked = std::mem::take(&mut self.acked);
+        acked.sort_unstable();
+        acked.dedup();
+        acked
+    }
+
+    /// Applies an end to its task. Returns false if the end concerns an older run.
+    fn apply_end(
+        &mut self,
+        index: WorkerIndex,
+        task_ref: TaskRef,
+        end: &EndRow,
+        now_us: u64,
+    ) -> bool {
+        let Some(job) = self.jobs[task_ref.job as usize].as_mut() else { return false };
+        let step = job.step(task_ref.task);
+        let (is_lasting, is_gang) = (step.is_lasting, step.is_gang);
+        let task = &mut job.tasks[task_ref.task as usize];
+        let is_allocated_here = task.state.worker() == Some(index);
+        let is_unstarted = matches!(task.state, TaskState::Waiting | TaskState::Chosen(_));
+        // A run that was given up after its lease and had already finished counts as done. Any
+        // other end of a run without an allocation here was applied before: a worker reports ends
+        // until they are acknowledged, to each planner in turn, and a failure must count once.
+        let is_relevant = is_allocated_here || (is_unstarted && end.cause == EndCause::Done);
+        if end.run != task.run || !is_relevant {
+            return false;
+        }
+        job.is_started = true;
+        if !end.saved.is_empty() {
+            task.saved = end.saved.clone();
+        }
+        let ran_us = now_us.saturating_sub(task.since_us);
+        let measured_us = now_us.saturating_sub(task.measured_us);
+        log::info!(event = "run_ended", job = end.task.job.as_str(),
+            step = end.task.step, index = end.task.index, run = end.run,
+            worker = self.workers[index as usize].entry.id.as_str(), cause:? = end.cause,
+            ran_ms = ran_us / US_PER_MS; "");
+        if end.cause == EndCause::Done {
+            self.sample_end(index, task_ref, measured_us);
+        }
+        if matches!(end.cause, EndCause::Done | EndCause::Failed) {
+            self.clear_crashes(task_ref);
+        }
+        match end.cause {
+            EndCause::Done if !is_lasting => self.task_done(task_ref, is_gang, now_us),
+            EndCause::Failed => self.task_failed(index, task_ref, is_lasting, is_gang, now_us),
+            _ => self.release(task_ref, TaskState::Waiting, now_us),
+        }
+        if end.cause == EndCause::Done {
+            self.workers[index as usize].consecutive_failures.clear();
+            self.workers[index as usize].quarantines = 0;
+        }
+        true
+    }
+
+    fn task_done(&mut self, task_ref: TaskRef, is_gang: bool, now_us: u64) {
+        let Some(job) = self.job(task_ref.job) else { return };
+        let (occurrence, step, _) = job.locate(task_ref.task);
+        let members: Vec<u32> =
+            if is_gang { job.tasks_of(occurrence, step).collect() } else { vec![task_ref.task] };
+        for task in members {
+            let task_ref = TaskRef { job: task_ref.job, task };
+            if self.task_state(task_ref) == TaskState::Done {
+                continue;
+            }
+            self.release(task_ref, TaskState::Done, now_us);
+            self.counts.done += 1;
+            if let Some(job) = self.jobs[task_ref.job as usize].as_mut() {
+                let position = job.step_position(occurrence, step);
+                job.remaining[position] -= 1;
+                job.remaining_total -= 1;
+            }
+        }
+        let Some(job) = self.job(task_ref.job) else { return };
+        if job.remaining_total == 0 {
+            self.finish(task_ref.job, JobPhase::Completed, now_us);
+        } else if job.remaining[job.step_position(occurrence, step)] == 0 {
+            self.open_occurrence(task_ref.job, occurrence, now_us);
+        }
+    }
+
+    fn task_failed(
+        &mut self,
+        index: WorkerIndex,
+        task_ref: TaskRef,
+        is_lasting: bool,
+        is_gang: bool,
+        now_us: u64,
+    ) {
+        self.counts.failed += 1;
+        self.suspect_worker(index, task_ref.job, now_us);
+        let Some(job) = self.jobs[task_ref.job as usize].as_mut() else { return };
+        let (occurrence, step, _) = job.locate(task_ref.task);
+        let members =
+            if is_gang { job.tasks_of(occurrence, step) } else { task_ref.task..task_ref.task + 1 };
+        for member in members {
+            job.tasks[member as usize].failures += 1;
+        }
+        let failures = job.tasks[task_ref.task as usize].failures;
+        let max_attempts =
+            self.job(task_ref.job).map_or(u32::MAX, |job| self.terms(job).max_attempts.max(1));
+        self.release(task_ref, TaskState::Waiting, now_us);
+        if !is_lasting && failures >= max_attempts {
+            self.finish(task_ref.job, JobPhase::Failed, now_us);
+        }
+    }
+
+    /// Counts a failure against a worker and quarantines it after [`QUARANTINE_FAILURES`] in a row.
+    /// At least two jobs must have failed there, because one job that fails everywhere is no
+    /// evidence against its workers.
+    pub(super) fn suspect_worker(&mut self, index: WorkerIndex, slot: u32, now_us: u64) {
+        let worker = &mut self.workers[index as usize];
+        worker.consecutive_failures.push(slot);
+        let jobs: HashSet<u32> = worker.consecutive_failures.iter().copied().collect();
+        if worker.consecutive_failures.len() < QUARANTINE_FAILURES || jobs.len() < 2 {
+            return;
+        }
+        let quarantine_us =
+            (INITIAL_QUARANTINE_US << worker.quarantines.min(3)).min(MAX_QUARANTINE_US);
+        worker.quarantines += 1;
+        worker.closed_until_us = now_us + quarantine_us;
+        worker.consecutive_failures.clear();
+        self.counts.quarantines += 1;
+        log::warn!(event = "worker_closed", worker = worker.entry.id.as_str(),
+            for_ms = quarantine_us / US_PER_MS; "quarantined after consecutive failures");
+    }
+
+    /// Applies the reported runs. Runs that the ledger does not expect on the worker are stopped.
+    fn apply_runs(&mut self, index: WorkerIndex, rows: &[RunRow], now_us: u64) -> HashSet<TaskRef> {
+        let mut present = HashSet::with_capacity(rows.len());
+        self.workers[index as usize].has_stray_runs = false;
+        for row in rows {
+            match self
+                .find(&row.task)
+                .filter(|task_ref| self.is_expected(index, *task_ref, row.run))
+            {
+                Some(task_ref) => {
+                    present.insert(task_ref);
+                    self.apply_run(index, task_ref, row, now_us);
+                }
+                None => self.stop_stray(index, row, now_us),
+            }
+        }
+        present
+    }
+
+    fn is_expected(&self, index: WorkerIndex, task_ref: TaskRef, run: u32) -> bool {
+        self.job(task_ref.job).is_some_and(|job| {
+            let task = &job.tasks[task_ref.task as usize];
+            task.run == run && task.state.worker() == Some(index)
+        })
+    }
+
+    fn apply_run(&mut self, index: WorkerIndex, task_ref: TaskRef, row: &RunRow, now_us: u64) {
+        let Some(job) = self.jobs[task_ref.job as usize].as_mut() else { return };
+        job.is_started = true;
+        let task = &mut job.tasks[task_ref.task as usize];
+        if !row.saved.is_empty() && row.saved != task.saved {
+            task.saved.clone_from(&row.saved);
+        }
+        self.starting -= u32::from(task.mark_running());
+        if matches!(task.state, TaskState::Stopping(_)) {
+            self.repeat_stop(task_ref, now_us);
+            return;
+        }
+        // The progress of a run that resumes, or that a previous planner started, is measured from
+        // its first report.
+        let is_first = task.percent == 0;
+        if row.percent != task.percent {
+            task.percent = row.percent;
+            task.progress_us = now_us;
+        }
+        if matches!(task.state, TaskState::Ordered(_) | TaskState::Chosen(_)) {
+            task.state = TaskState::Running(index);
+            task.since_us = now_us;
+            task.progress_us = now_us;
+            task.start_percent = row.percent;
+            task.measured_us = now_us;
+        } else if is_first && !row.saved.is_empty() {
+            task.start_percent = row.percent;
+            task.measured_us = now_us;
+        }
+        self.update_probation(task_ref, now_us);
+        self.sample_speed(index, task_ref, row, now_us);
+    }
+
+    /// Repeats the stop of a run that is still present. The first stop may have been lost because
+    /// the worker was not registered, and the run of a cancelled job would continue.
+    fn repeat_stop(&mut self, task_ref: TaskRef, now_us: u64) {
+        let Some(job) = self.job(task_ref.job) else { return };
+        let task = &job.tasks[task_ref.task as usize];
+        if now_us.saturating_sub(task.since_us) > STOP_RETRY_INTERVAL_US {
+            self.stop(task_ref, now_us);
+        }
+    }
+
+    /// Stops a run that the ledger does not expect on the worker: its job was cancelled, or its
+    /// start was carried out after it had been given up.
+    fn stop_stray(&mut self, index: WorkerIndex, row: &RunRow, now_us: u64) {
+        log::warn!(event = "stray_run", job = row.task.job.as_str(), step = row.task.step,
+            index = row.task.index, run = row.run,
+            worker = self.workers[index as usize].entry.id.as_str(); "stopped");
+        self.workers[index as usize].has_stray_runs = true;
+        let task_ref = TaskRef { job: u32::MAX, task: 0 };
+        self.orders.push(Order {
+            worker: index,
+            task_ref,
+            task: row.task.clone(),
+            run: row.run,
+            kind: OrderKind::Stop,
+            decided_us: now_us,
+        });
+    }
+
+    /// Releases the tasks that are missing from a worker's answer although the worker answered the
+    /// order about them before the poll was sent.
+    fn release_absent(
+        &mut self,
+        index: WorkerIndex,
+        present: &HashSet<TaskRef>,
+        sent_us: u64,
+        now_us: u64,
+    ) {
+        let absent: Vec<TaskRef> = self.workers[index as usize]
+            .tasks
+            .iter()
+            .copied()
+            .filter(|task_ref| {
+                !present.contains(task_ref) && self.is_known_absent(*task_ref, sent_us)
+            })
+            .collect();
+        for task_ref in absent {
+            log::info!(event = "run_absent", job = self.job_id(task_ref.job), task = task_ref.task,
+                worker = self.workers[index as usize].entry.id.as_str(); "restarting the task");
+            self.mark_dirty(task_ref.job, now_us);
+            self.release(task_ref, TaskState::Waiting, now_us);
+        }
+        self.bar_overdue_starts(index, present, now_us);
+    }
+
+    /// Bars starts that were neither answered nor carried out within [`START_TIMEOUT_US`]. The
+    /// order may be lost, or arrive seconds late.
+    fn bar_overdue_starts(&mut self, index: WorkerIndex, present: &HashSet<TaskRef>, now_us: u64) {
+        let overdue: Vec<TaskRef> = self.workers[index as usize]
+            .tasks
+            .iter()
+            .copied()
+            .filter(|task_ref| !present.contains(task_ref) && self.is_overdue(*task_ref, now_us))
+            .collect();
+        overdue.into_iter().for_each(|task_ref| self.stop(task_ref, now_us));
+    }
+
+    fn is_overdue(&self, task_ref: TaskRef, now_us: u64) -> bool {
+        self.job(task_ref.job).is_some_and(|job| {
+            let task = &job.tasks[task_ref.task as usize];
+            let is_unanswered =
+                matches!(task.state, TaskState::Ordered(_) | TaskState::Stopping(_))
+                    && task.answered_us == 0;
+            is_unanswered && now_us.saturating_sub(task.since_us) > START_TIMEOUT_US
+        })
+    }
+
+    fn is_known_absent(&self, task_ref: TaskRef, sent_us: u64) -> bool {
+        let Some(job) = self.job(task_ref.job) else { return true };
+        let task = &job.tasks[task_ref.task as usize];
+        let is_answered = task.answered_us > 0 && task.answered_us < sent_us;
+        match task.state {
+            TaskState::Running(_) | TaskState::Ordered(_) | TaskState::Stopping(_) => is_answered,
+            _ => false,
+        }
+    }
+
+    pub(super) fn job_id(&self, slot: u32) -> &str {
+        self.job(slot).map_or("", |job| job.spec.id.as_str())
+    }
+}
--- a/crates/agatesill_policy/src/fleet/record.rs
+++ b/crates/agatesill_policy/src/fleet/record.rs
@@ -1,4 +1,4 @@
-//! A job's progress as it is stored.
+//! Persistent progress of a job.
 
 use crate::value_type;
 
@@ -6,14 +6,14 @@
 use super::worker::Worker;
 
 value_type! {
-    /// What is stored of one task that has been started at least once.
+    /// Persistent state of a task that has been started at least once.
     #[serde(default)]
     #[derive(Default)]
     pub struct TaskRecord {
-        /// Place among the job's tasks.
+        /// Index among the job's tasks.
         #[serde(rename = "i")]
         pub task: u32,
-        /// Number of its newest run.
+        /// Number of the newest run.
         #[serde(rename = "r")]
         pub run: u32,
         /// Failed runs.
@@ -22,66 +22,68 @@
         /// Consecutive runs lost in worker crashes during probation.
         #[serde(rename = "c", skip_serializing_if = "is_zero")]
         pub crashes: u32,
-        /// Those of the crashes that have no other known cause and in which it was the only suspect.
+        /// Number of these crashes that have no other known cause and in which the task was the
+        /// only suspect.
         #[serde(rename = "u", skip_serializing_if = "is_zero")]
         pub unexplained_crashes: u32,
-        /// Whether it is done.
+        /// Whether the task is done.
         #[serde(rename = "d", skip_serializing_if = "is_false")]
         pub is_done: bool,
-        /// Life of the worker on which the newest run may be; empty if it has ended.
+        /// Worker incarnation on which the newest run may be present; empty if the run has ended.
         #[serde(rename = "w", skip_serializing_if = "String::is_empty")]
         pub worker: String,
-        /// Newest checkpoint known when the record was made.
+        /// Newest checkpoint known when the record was built.
         #[serde(rename = "s", skip_serializing_if = "String::is_empty")]
         pub saved: String,
-        /// Time of day since when it has been without a run; 0 while it runs.
+        /// Wall-clock time since which the task has not run; 0 while it runs.
         #[serde(rename = "a", skip_serializing_if = "is_zero64")]
         pub waits_since_ms: u64,
     }
 }
 
 impl TaskRecord {
-    /// Whether the record shows that a run has begun; of one that was only ordered it is not known.
+    /// Whether the record proves that a run has begun. An ordered run may not have begun.
     pub fn has_begun(&self) -> bool {
         self.is_done || self.failures > 0 || !self.saved.is_empty()
     }
 }
 
-#[allow(clippy::trivially_copy_pass_by_ref)] // The signature that serde asks for.
+#[allow(clippy::trivially_copy_pass_by_ref)] // Signature required by serde.
 fn is_zero(value: &u32) -> bool {
     *value == 0
 }
 
-#[allow(clippy::trivially_copy_pass_by_ref)] // The signature that serde asks for.
+#[allow(clippy::trivially_copy_pass_by_ref)] // Signature required by serde.
 fn is_zero64(value: &u64) -> bool {
     *value == 0
 }
 
-#[allow(clippy::trivially_copy_pass_by_ref)] // The signature that serde asks for.
+#[allow(clippy::trivially_copy_pass_by_ref)] // Signature required by serde.
 fn is_false(value: &bool) -> bool {
     !*value
 }
 
 value_type! {
-    /// What is stored of a job.
+    /// Persistent state of a job.
     pub struct ProgressRecord {
-        /// Where it stands.
+        /// Lifecycle phase.
         #[serde(rename = "p")]
         pub phase: JobPhase,
         /// Whether any task has been started, or is about to be: its order follows this record.
         #[serde(rename = "b", default)]
         pub is_started: bool,
-        /// Time of day at which the turn of its newest step came.
+        /// Wall-clock time at which the newest step became runnable.
         #[serde(rename = "o", default, skip_serializing_if = "is_zero64")]
         pub turn_ms: u64,
-        /// Tasks; empty once the job has reached a final phase and nothing of it may run.
+        /// Tasks that have been started; empty once the job has ended and none of its tasks may
+        /// run.
         #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
         pub tasks: Vec<TaskRecord>,
     }
 }
 
 impl ProgressRecord {
-    /// The present progress of a job; `wall_ms` gives the time of day of a moment.
+    /// Builds the record of a job; `wall_ms` converts ledger time to wall-clock time.
     pub fn of(job: &Job, workers: &[Worker], wall_ms: impl Fn(u64) -> u64) -> Self {
         let is_final = job.phase != JobPhase::Active;
         let tasks = job
--- a/crates/agatesill_policy/src/fleet/registry.rs
+++ b/crates/agatesill_policy/src/fleet/registry.rs
@@ -1,4 +1,4 @@
-//! Which workers are registered, and which lives have followed others.
+//! Registered workers, and the succession of their incarnations.
 
 use crate::batch::Resources;
 
@@ -8,15 +8,15 @@
 use super::worker::{Worker, WorkerEntry, WorkerIndex, WorkerStanding};
 
 impl Fleet {
-    /// Takes in one entry of the registry.
+    /// Applies one entry of the registry.
     pub fn worker_listed(&mut self, entry: WorkerEntry, now_us: u64) -> WorkerIndex {
         if let Some(index) = self.worker_by_id.get(&entry.id).copied() {
-            self.revive(index, &entry);
+            self.reinstate(index, &entry);
             let worker = &mut self.workers[index as usize];
             if worker.entry.service != entry.service || worker.entry.labels != entry.labels {
                 self.capacity_index.withdraw(index, worker);
             }
-            // What was known from records alone gets its address now.
+            // A worker known only from job records gets its address now.
             let has_new_address =
                 worker.entry.address != entry.address && worker.standing != WorkerStanding::Gone;
             let began_to_leave = entry.is_leaving && !worker.entry.is_leaving;
@@ -47,15 +47,16 @@
         index
     }
 
-    /// Assigns a worker's address to it unless a newer incarnation holds that address, and marks the older
-    /// of the two as gone. The older incarnation last wrote its entry before the newer one started, so the
-    /// lower revision identifies it, even while the registry still lists both.
+    /// Assigns a worker's address to it unless a newer incarnation holds that address, and marks
+    /// the older of the two as terminated. The older incarnation last wrote its entry before the
+    /// newer one started, so the lower revision identifies it, even while the registry still lists
+    /// both.
     ///
-    /// Prevents duplicate runs: if listing order decided, a stale entry could mark the live worker as gone
-    /// and its tasks would also be started elsewhere.
+    /// Prevents duplicate runs: if listing order decided, a stale entry could mark the live worker
+    /// as terminated, and its tasks would also be started elsewhere.
     fn claim_address(&mut self, index: WorkerIndex, now_us: u64) {
         let entry = &self.workers[index as usize].entry;
-        let other = self.live_at(&entry.address).filter(|other| *other != index);
+        let other = self.live_worker_at(&entry.address).filter(|other| *other != index);
         let is_older =
             |other: WorkerIndex| entry.revision < self.workers[other as usize].entry.revision;
         let superseded = match other {
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Logs a change of a worker's capacity and withdraws its latest choices while
-    /// its charges exceed the new one.
+    /// Logs a change of a worker's capacity and withdraws the latest choices while the allocations
+    /// exceed the new capacity.
     fn apply_capacity_change(&mut self, index: WorkerIndex, previous: &Resources, now_us: u64) {
         let worker = &self.workers[index as usize];
         // A worker known only from job records has no capacity until it registers.
@@ -87,35 +88,35 @@
             .iter()
             .rev()
             .copied()
-            .filter(|at| matches!(self.task_state(*at), TaskState::Chosen(_)))
+            .filter(|task_ref| matches!(self.task_state(*task_ref), TaskState::Chosen(_)))
             .collect();
-        for at in chosen {
+        for task_ref in chosen {
             if self.workers[index as usize].is_over_capacity() {
-                self.withdraw(at, now_us);
+                self.withdraw(task_ref, now_us);
             }
         }
     }
 
-    /// Takes an incarnation that was given up back, once it registers again: it was cut off for longer than
-    /// its lease and lives. Without this it would never get a task again. A stale entry of an incarnation
-    /// that another one has followed changes nothing.
-    fn revive(&mut self, index: WorkerIndex, entry: &WorkerEntry) {
+    /// Reinstates a terminated incarnation that registers again: it was partitioned for longer than
+    /// its lease but is still running, and would otherwise never get a task again. A stale entry of
+    /// an incarnation with a successor changes nothing.
+    fn reinstate(&mut self, index: WorkerIndex, entry: &WorkerEntry) {
         let is_gone = self.workers[index as usize].standing == WorkerStanding::Gone;
-        if is_gone && self.live_at(&entry.address).is_none() {
+        if is_gone && self.live_worker_at(&entry.address).is_none() {
             log::info!(event = "worker_back", worker = entry.id.as_str(); "");
             self.workers[index as usize].standing = WorkerStanding::New;
             self.worker_by_address.insert(entry.address.clone(), index);
         }
     }
 
-    /// The newest worker at an address, unless its incarnation is over.
-    fn live_at(&self, address: &str) -> Option<WorkerIndex> {
+    /// Returns the newest worker at an address, unless it has terminated.
+    fn live_worker_at(&self, address: &str) -> Option<WorkerIndex> {
         let index = self.worker_by_address.get(address).copied()?;
         let is_live = self.workers[index as usize].standing != WorkerStanding::Gone;
         is_live.then_some(index)
     }
 
-    /// Takes in that the registry lists a worker no more. It may still run what it was given.
+    /// Records that the registry no longer lists a worker. Its runs may still be present.
     pub fn worker_unlisted(&mut self, id: &str) {
         let Some(index) = self.worker_by_id.get(id).copied() else { return };
         let worker = &mut self.workers[index as usize];
@@ -123,7 +124,8 @@
         self.worker_changed(index);
     }
 
-    /// Tasks whose newest run may be on a worker that the registry does not list, and these workers.
+    /// Counts the tasks whose newest run may be on a worker that the registry does not list, and
+    /// these workers.
     pub fn tasks_on_unlisted_workers(&self) -> (usize, usize) {
         let unlisted = self.live_workers().map(|(_, worker)| worker).filter(|w| !w.is_listed);
         unlisted
@@ -131,7 +133,7 @@
             .fold((0, 0), |(tasks, workers), worker| (tasks + worker.tasks.len(), workers + 1))
     }
 
-    /// The workers that the registry is known to list.
+    /// Identifiers of the workers that the registry is known to list.
     pub fn listed_workers(&self) -> Vec<String> {
         self.workers
             .iter()
--- a/crates/agatesill_policy/src/fleet/state.rs
+++ b/crates/agatesill_policy/src/fleet/state.rs
@@ -1,4 +1,4 @@
-//! The ledger: jobs, workers and what is charged where.
+//! The ledger: jobs, workers and the resources allocated to tasks.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -14,16 +14,16 @@
 use super::zones::ClosedZones;
 use super::{FleetBounds, US_PER_MS};
 
-/// Lease that each poll and start asks for. Long enough that a successor, who needs about three
-/// seconds to take over, renews in time; short, because the tasks of a worker that went silent are
-/// started elsewhere only after it.
+/// Lease requested by each poll and start. A successor needs about three seconds to take over and
+/// must renew it in time. It is short because the tasks of an unresponsive worker are restarted
+/// elsewhere only after the lease expires.
 pub const LEASE_MS: u64 = 5_000;
 
-/// Added to a lease before what it covered counts as ended: two percent for a worker's slow clock
-/// and the time that a call may be under way.
+/// Added to a lease, on top of two percent for a slow worker clock, before the lease counts as
+/// expired. Covers the time that a call may be in flight.
 pub const LEASE_SLACK_MS: u64 = 300;
 
-/// Waiting tasks of one step of one occurrence.
+/// The waiting tasks of one step in one occurrence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct TaskGroup {
     pub job: u32,
@@ -31,67 +31,68 @@
     pub step: u32,
 }
 
-/// What happened since the start, for metrics.
+/// Event counters since the start, for metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Tasks given to a worker.
+    /// Starts ordered.
     pub chosen: u64,
-    /// Runs that ended as done.
+    /// Runs that completed.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
     /// Runs lost with their worker.
     pub lost: u64,
-    /// Runs stopped by this program's own decision.
+    /// Runs stopped by a decision of the scheduler.
     pub stopped: u64,
-    /// Lasting tasks stopped to make room for urgent steps.
+    /// Long-running tasks preempted for urgent steps.
     pub preempted: u64,
-    /// Changes of a task's share of processor time.
+    /// Changes of a task's share of CPU time.
     pub paced: u64,
-    /// Orders that a worker rejected for want of room.
+    /// Starts rejected by a worker for lack of capacity.
     pub no_room: u64,
-    /// Workers closed for failing what they start.
+    /// Quarantines of workers that fail the tasks they start.
     pub quarantines: u64,
-    /// Times that a worker was closed for being slow.
+    /// Times that a worker was closed to new tasks for being slow.
     pub slow_workers: u64,
     /// Tasks given up after repeated worker crashes.
     pub given_up: u64,
 }
 
-/// The ledger of one fleet.
+/// Jobs, workers and allocations of one fleet.
 #[derive(Debug)]
 pub struct Fleet {
     pub(super) bounds: FleetBounds,
-    /// Jobs by slot; a slot stays empty once its job is retired.
+    /// Jobs by slot. A slot becomes empty when its job is retired.
     pub(super) jobs: Vec<Option<Box<Job>>>,
     pub(super) by_id: HashMap<JobId, u32>,
     pub(super) workers: Vec<Worker>,
     pub(super) worker_by_id: HashMap<String, WorkerIndex>,
-    /// The newest worker at each address.
+    /// Newest worker incarnation at each address.
     pub(super) worker_by_address: HashMap<String, WorkerIndex>,
     pub(super) queues: HashMap<String, QueueTerms>,
     pub(super) closed_zones: ClosedZones,
-    /// The time of day less the time of this ledger.
+    /// Wall clock minus the clock of this ledger.
     pub(super) wall_offset_ms: i64,
     pub(super) waiting: BTreeSet<TaskGroup>,
     pub(super) due: BTreeMap<u64, Vec<(u32, u32)>>,
-    /// Jobs whose record is to be written, and since when.
+    /// Jobs with changes that are not being written yet, and when the first of these was made.
     pub(super) dirty: BTreeMap<u32, u64>,
-    /// Those among them that something waits for.
+    /// Dirty jobs whose record something waits for, such as a start.
     pub(super) urgent: BTreeSet<u32>,
     pub(super) orders: Vec<Order>,
-    /// Tasks that are starting: see [`super::Task::is_starting`].
+    /// Number of tasks with [`super::Task::is_starting`] set.
     pub(super) starting: u32,
-    /// Workers whose incarnation has ended and whose lines are still open.
-    pub(super) gone: Vec<WorkerIndex>,
-    /// Times of the last answers of workers that recently went silent.
+    /// Terminated workers whose connections are still open.
+    pub(super) terminated: Vec<WorkerIndex>,
+    /// Last answer times of workers that recently became unresponsive.
     pub(super) lost_contacts_us: VecDeque<u64>,
-    /// Workers that may forget more ends than the lines were told.
+    /// Workers whose newest acknowledged end has not been passed to their connections yet.
     pub(super) acked: Vec<WorkerIndex>,
     pub(super) ended_jobs: Vec<(u64, u32)>,
-    /// Phase of each job that was retired, or had ended when this ledger was built, and since when.
-    pub(super) ended_before: HashMap<JobId, (JobPhase, u64)>,
-    pub(super) cancelled_early: HashSet<JobId>,
+    /// Final phase of each job that was retired, or had ended when this ledger was built, and since
+    /// when.
+    pub(super) retired: HashMap<JobId, (JobPhase, u64)>,
+    pub(super) pending_cancels: HashSet<JobId>,
     pub(super) images: Images,
     pub(super) pressure: Pressure,
     pub(super) pairs: PairCounts,
@@ -105,7 +106,7 @@
 }
 
 impl Fleet {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     pub fn new(bounds: FleetBounds) -> Self {
         Self {
             bounds,
@@ -125,10 +126,10 @@
             starting: 0,
             lost_contacts_us: VecDeque::new(),
             acked: Vec::new(),
-            gone: Vec::new(),
+            terminated: Vec::new(),
             ended_jobs: Vec::new(),
-            ended_before: HashMap::new(),
-            cancelled_early: HashSet::new(),
+            retired: HashMap::new(),
+            pending_cancels: HashSet::new(),
             images: Images::default(),
             pressure: Pressure::default(),
             pairs: PairCounts::default(),
@@ -142,42 +143,43 @@
         }
     }
 
-    /// What happened since the start.
+    /// Returns the event counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// What the decisions since the start have cost.
+    /// Returns the work done by decisions since the start.
     pub fn effort(&self) -> Effort {
         self.effort.get()
     }
 
-    /// Lease that is asked of workers.
+    /// Lease requested from workers, within the platform's limit.
     pub fn lease_ms(&self) -> u64 {
         LEASE_MS.min(self.bounds.lease_max_ms)
     }
 
-    /// The terms of each queue in the configuration in force.
+    /// Sets the terms of each queue in the active configuration.
     pub fn set_queues(&mut self, queues: HashMap<String, QueueTerms>) {
         self.queues = queues;
     }
 
-    /// The terms by which a job is treated now.
+    /// Returns the terms that apply to a job: the active ones of its queue, or else those at
+    /// acceptance.
     pub(super) fn terms<'a>(&'a self, job: &'a Job) -> &'a QueueTerms {
         self.queues.get(&job.spec.queue).unwrap_or(&job.spec.terms)
     }
 
-    /// Takes in a job that is stored; a job that is known already is left as it is. It is as old as the
-    /// time of day at its acceptance says: it may be heard of late.
+    /// Adds a stored job; a known job is left unchanged. The age of the job is derived from the
+    /// wall-clock time of its acceptance, because the ledger may receive it late.
     pub fn accept(&mut self, spec: JobSpec, now_us: u64) {
-        if self.by_id.contains_key(&spec.id) || self.ended_before.contains_key(&spec.id) {
+        if self.by_id.contains_key(&spec.id) || self.retired.contains_key(&spec.id) {
             return;
         }
-        let was_cancelled = self.cancelled_early.remove(&spec.id);
+        let was_cancelled = self.pending_cancels.remove(&spec.id);
         let mut job = Job::new(spec, now_us);
         job.accepted_us = self.moment_us(job.spec.accepted_at_ms, now_us);
         let slot = self.insert(job);
-        self.open_rounds(slot, now_us);
+        self.open_occurrences(slot, now_us);
         if was_cancelled {
             self.finish(slot, JobPhase::Cancelled, now_us);
         }
@@ -188,26 +190,26 @@
         let slot = self.jobs.len() as u32;
         self.by_id.insert(job.spec.id.clone(), slot);
         self.jobs.push(Some(Box::new(job)));
-        self.note_work(slot);
+        self.update_mean_work(slot);
         slot
     }
 
-    /// Lets the first steps of a job wait for workers, or for their due time.
-    pub(super) fn open_rounds(&mut self, slot: u32, now_us: u64) {
+    /// Opens the occurrences of a job without a due time and schedules the others.
+    pub(super) fn open_occurrences(&mut self, slot: u32, now_us: u64) {
         let Some(job) = self.job(slot) else { return };
-        let dues: Vec<u64> =
+        let due_times: Vec<u64> =
             (0..job.spec.rounds()).map(|occurrence| job.spec.due_ms(occurrence)).collect();
-        for (occurrence, due_ms) in dues.into_iter().enumerate() {
+        for (occurrence, due_ms) in due_times.into_iter().enumerate() {
             if due_ms == 0 {
-                self.open_round(slot, occurrence as u32, now_us);
+                self.open_occurrence(slot, occurrence as u32, now_us);
             } else {
                 self.due.entry(due_ms).or_default().push((slot, occurrence as u32));
             }
         }
     }
 
-    /// Lets all steps of an occurrence wait whose turn has come.
-    pub(super) fn open_round(&mut self, slot: u32, occurrence: u32, now_us: u64) {
+    /// Makes all runnable steps of an occurrence wait for workers.
+    pub(super) fn open_occurrence(&mut self, slot: u32, occurrence: u32, now_us: u64) {
         let steps = self.job(slot).map_or(0, |job| job.spec.steps.len());
         (0..steps as u32).for_each(|step| self.open_step(slot, occurrence, step, now_us));
     }
@@ -233,34 +235,34 @@
         }
     }
 
-    /// Opens the occurrences whose time has come; `now_ms` is the wall clock.
+    /// Opens the occurrences that have become due; `now_ms` is the wall clock.
     pub fn open_due(&mut self, now_ms: u64, now_us: u64) {
         while let Some(entry) = self.due.first_entry() {
             if *entry.key() > now_ms {
                 break;
             }
             for (slot, occurrence) in entry.remove() {
-                self.open_round(slot, occurrence, now_us);
+                self.open_occurrence(slot, occurrence, now_us);
             }
         }
     }
 
-    /// Takes in that the caller has cancelled a job.
+    /// Cancels a job.
     ///
-    /// Guards against a cancel that is heard of before its job, as when both are read back after a
-    /// gap in the store's history, cancels first: the job would start after it was cancelled.
+    /// A cancel of an unknown job is remembered. After a gap in the store's history both keys are
+    /// read again, cancels first, and the job would otherwise start after it was cancelled.
     pub fn cancel(&mut self, id: &str, now_us: u64) {
-        if self.ended_before.contains_key(id) {
+        if self.retired.contains_key(id) {
             return;
         }
         let Some(slot) = self.by_id.get(id).copied() else {
-            self.cancelled_early.insert(id.to_owned());
+            self.pending_cancels.insert(id.to_owned());
             return;
         };
         self.finish(slot, JobPhase::Cancelled, now_us);
     }
 
-    /// Puts a job into a final phase and stops what runs of it.
+    /// Moves a job to a final phase and stops its runs.
     pub(super) fn finish(&mut self, slot: u32, phase: JobPhase, now_us: u64) {
         let Some(job) = self.jobs[slot as usize].as_mut() else { return };
         if job.phase != JobPhase::Active {
@@ -275,18 +277,18 @@
         self.waiting.retain(|group| group.job != slot);
         self.advice.retain(|group, _| group.job != slot);
         for task in 0..tasks {
-            let at = TaskRef { job: slot, task };
-            match self.task_state(at) {
-                TaskState::Chosen(_) => self.release(at, TaskState::Blocked, now_us),
-                TaskState::Ordered(_) | TaskState::Running(_) => self.stop(at, now_us),
-                TaskState::Waiting => self.set_state(at, TaskState::Blocked, now_us),
+            let task_ref = TaskRef { job: slot, task };
+            match self.task_state(task_ref) {
+                TaskState::Chosen(_) => self.release(task_ref, TaskState::Blocked, now_us),
+                TaskState::Ordered(_) | TaskState::Running(_) => self.stop(task_ref, now_us),
+                TaskState::Waiting => self.set_state(task_ref, TaskState::Blocked, now_us),
                 _ => {}
             }
         }
         log::info!(event = "job_ended", job = id.as_str(), phase:? = phase; "");
     }
 
-    /// The job in a slot.
+    /// Returns the job in a slot, unless it was retired.
     pub(super) fn job(&self, slot: u32) -> Option<&Job> {
         self.jobs.get(slot as usize).and_then(Option::as_deref)
     }
@@ -295,13 +297,14 @@
         self.jobs.get_mut(slot as usize).and_then(Option::as_deref_mut)
     }
 
-    pub(super) fn task_state(&self, at: TaskRef) -> TaskState {
-        self.job(at.job).map_or(TaskState::Blocked, |job| job.tasks[at.task as usize].state)
+    pub(super) fn task_state(&self, task_ref: TaskRef) -> TaskState {
+        self.job(task_ref.job)
+            .map_or(TaskState::Blocked, |job| job.tasks[task_ref.task as usize].state)
     }
 
-    pub(super) fn set_state(&mut self, at: TaskRef, state: TaskState, now_us: u64) {
-        if let Some(job) = self.jobs[at.job as usize].as_mut() {
-            let task = &mut job.tasks[at.task as usize];
+    pub(super) fn set_state(&mut self, task_ref: TaskRef, state: TaskState, now_us: u64) {
+        if let Some(job) = self.jobs[task_ref.job as usize].as_mut() {
+            let task = &mut job.tasks[task_ref.task as usize];
             task.state = state;
             task.since_us = now_us;
             if matches!(state, TaskState::Stopping(_)) {
@@ -310,15 +313,15 @@
         }
     }
 
-    /// Charges a worker for a task.
-    pub(super) fn allocate(&mut self, at: TaskRef, worker: WorkerIndex, state: TaskState) {
-        let Some(job) = self.jobs[at.job as usize].as_mut() else { return };
-        let step = job.step(at.task);
-        let (need, fills, lasts) = (step.allocation(), step.fills, step.is_lasting);
+    /// Allocates resources of a worker to a task.
+    pub(super) fn allocate(&mut self, task_ref: TaskRef, worker: WorkerIndex, state: TaskState) {
+        let Some(job) = self.jobs[task_ref.job as usize].as_mut() else { return };
+        let step = job.step(task_ref.task);
+        let (need, fills, is_long_running) = (step.allocation(), step.fills, step.is_lasting);
         let cpu = step.need.cpu_milli;
-        let serves = step.target_ms > 0;
-        let image = job.image(at.task);
-        let task = &mut job.tasks[at.task as usize];
+        let is_serving = step.target_ms > 0;
+        let image = job.image(task_ref.task);
+        let task = &mut job.tasks[task_ref.task as usize];
         task.state = state;
         self.starting += u32::from(!std::mem::replace(&mut task.is_starting, true));
         task.is_past_probation = false;
@@ -326,35 +329,35 @@
         let index = worker;
         let worker = &mut self.workers[worker as usize];
         worker.isolated_tasks += u32::from(is_isolated);
-        if serves && worker.serving.add(image) {
+        if is_serving && worker.serving.add(image) {
             self.pairs.serving_came(image, &worker.filling);
-        } else if fills && !serves && worker.filling.add(image) {
+        } else if fills && !is_serving && worker.filling.add(image) {
             self.pairs.filling_came(image, &worker.serving);
         }
         worker.used = worker.used.plus(&need);
         worker.best_effort_cpu_milli += if fills { cpu } else { 0 };
-        worker.lasting += u32::from(lasts);
-        worker.long_running_cpu_milli += if lasts { cpu } else { 0 };
-        worker.tasks.push(at);
+        worker.lasting += u32::from(is_long_running);
+        worker.long_running_cpu_milli += if is_long_running { cpu } else { 0 };
+        worker.tasks.push(task_ref);
         self.capacity_index.update(index, worker);
     }
 
-    /// Frees what a task was charged and gives it another state.
-    pub(super) fn release(&mut self, at: TaskRef, state: TaskState, now_us: u64) {
-        let Some(job) = self.jobs[at.job as usize].as_mut() else { return };
-        let before = job.tasks[at.task as usize].state;
-        let was_isolated = job.tasks[at.task as usize].is_isolated();
-        let (occurrence, step_index, _) = job.locate(at.task);
+    /// Frees the resources allocated to a task and moves the task to another state.
+    pub(super) fn release(&mut self, task_ref: TaskRef, state: TaskState, now_us: u64) {
+        let Some(job) = self.jobs[task_ref.job as usize].as_mut() else { return };
+        let previous_state = job.tasks[task_ref.task as usize].state;
+        let was_isolated = job.tasks[task_ref.task as usize].is_isolated();
+        let (occurrence, step_index, _) = job.locate(task_ref.task);
         let step = &job.spec.steps[step_index as usize];
-        self.preemption.freeing.remove(&at);
-        if let Some(index) = before.worker() {
+        self.preemption.freeing.remove(&task_ref);
+        if let Some(index) = previous_state.worker() {
             let worker = &mut self.workers[index as usize];
             worker.used = worker.used.minus(&step.allocation());
             let image = job.images[step_index as usize];
-            let serves = step.target_ms > 0;
-            if serves && worker.serving.remove(image) {
+            let is_serving = step.target_ms > 0;
+            if is_serving && worker.serving.remove(image) {
                 self.pairs.serving_left(image, &worker.filling);
-            } else if step.fills && !serves && worker.filling.remove(image) {
+            } else if step.fills && !is_serving && worker.filling.remove(image) {
                 self.pairs.filling_left(image, &worker.serving);
             }
             if step.fills {
@@ -366,20 +369,20 @@
                 worker.long_running_cpu_milli =
                     worker.long_running_cpu_milli.saturating_sub(step.need.cpu_milli);
             }
-            worker.tasks.retain(|other| *other != at);
+            worker.tasks.retain(|other| *other != task_ref);
             worker.isolated_tasks = worker.isolated_tasks.saturating_sub(u32::from(was_isolated));
             self.capacity_index.update(index, worker);
         }
         let is_active = job.phase == JobPhase::Active;
         let state =
             if state == TaskState::Waiting && !is_active { TaskState::Blocked } else { state };
-        let task = &mut job.tasks[at.task as usize];
+        let task = &mut job.tasks[task_ref.task as usize];
         task.state = state;
         task.since_us = now_us;
         self.starting -= u32::from(std::mem::take(&mut task.is_starting));
         if task.idle_since_us == 0 {
             task.idle_since_us = now_us;
-        } else if before.worker().is_some() {
+        } else if previous_state.worker().is_some() {
             task.failed_starts += 1;
         }
         task.unanswered = 0;
@@ -387,52 +390,53 @@
         task.pace_percent = 100;
         task.slowed_us = 0;
         if state == TaskState::Waiting {
-            self.waiting.insert(TaskGroup { job: at.job, occurrence, step: step_index });
+            self.waiting.insert(TaskGroup { job: task_ref.job, occurrence, step: step_index });
         }
     }
 
-    /// Brings the order of the workers up to date after a change of one.
+    /// Updates the capacity index after a change of a worker.
     pub(super) fn worker_changed(&mut self, index: WorkerIndex) {
         self.capacity_index.update(index, &self.workers[index as usize]);
     }
 
-    /// Orders a stop; the charge stays until the worker lists the end.
-    pub(super) fn stop(&mut self, at: TaskRef, now_us: u64) {
-        let Some(worker) = self.task_state(at).worker() else { return };
-        self.set_state(at, TaskState::Stopping(worker), now_us);
-        if let Some(job) = self.jobs[at.job as usize].as_mut() {
-            job.tasks[at.task as usize].answered_us = 0;
+    /// Orders a stop. The resources stay allocated until the worker reports the end.
+    pub(super) fn stop(&mut self, task_ref: TaskRef, now_us: u64) {
+        let Some(worker) = self.task_state(task_ref).worker() else { return };
+        self.set_state(task_ref, TaskState::Stopping(worker), now_us);
+        if let Some(job) = self.jobs[task_ref.job as usize].as_mut() {
+            job.tasks[task_ref.task as usize].answered_us = 0;
         }
         self.counts.stopped += 1;
-        self.push_order(at, worker, OrderKind::Stop, now_us);
+        self.push_order(task_ref, worker, OrderKind::Stop, now_us);
     }
 
     pub(super) fn push_order(
         &mut self,
-        at: TaskRef,
+        task_ref: TaskRef,
         worker: WorkerIndex,
         kind: OrderKind,
         now_us: u64,
     ) {
-        let Some(job) = self.job(at.job) else { return };
-        let run = job.tasks[at.task as usize].run;
-        let order = Order { worker, at, task: job.key(at.task), run, kind, decided_us: now_us };
+        let Some(job) = self.job(task_ref.job) else { return };
+        let run = job.tasks[task_ref.task as usize].run;
+        let order =
+            Order { worker, task_ref, task: job.key(task_ref.task), run, kind, decided_us: now_us };
         self.orders.push(order);
     }
 
-    /// Orders that may go out now. A start that was to be repeated is left out if its run was stopped
-    /// meanwhile: its job may have been cancelled.
+    /// Returns the orders that may be sent now. A start that was to be repeated is dropped if its
+    /// run has been stopped, for example because the job was cancelled.
     pub fn take_orders(&mut self) -> Vec<Order> {
         let orders = std::mem::take(&mut self.orders);
-        orders.into_iter().filter(|order| !self.is_overtaken(order)).collect()
+        orders.into_iter().filter(|order| !self.is_superseded(order)).collect()
     }
 
-    fn is_overtaken(&self, order: &Order) -> bool {
+    fn is_superseded(&self, order: &Order) -> bool {
         if !matches!(order.kind, OrderKind::Start { .. }) {
             return false;
         }
-        self.job(order.at.job).is_none_or(|job| {
-            let task = &job.tasks[order.at.task as usize];
+        self.job(order.task_ref.job).is_none_or(|job| {
+            let task = &job.tasks[order.task_ref.task as usize];
             task.run != order.run || task.state != TaskState::Ordered(order.worker)
         })
     }
@@ -441,16 +445,16 @@
         (self.lease_ms() * 102 / 100 + LEASE_SLACK_MS) * US_PER_MS
     }
 
-    /// Phase and whether any task has started, as stored; `None` if the job is not known here.
+    /// Returns the stored phase and whether any task has started; `None` if the job is unknown.
     pub fn state_of(&self, id: &str) -> Option<(JobPhase, bool)> {
-        if let Some((phase, _)) = self.ended_before.get(id) {
+        if let Some((phase, _)) = self.retired.get(id) {
             return Some((*phase, true));
         }
         let job = self.by_id.get(id).and_then(|slot| self.job(*slot))?;
         Some((job.committed_phase, job.is_started))
     }
 
-    /// Active jobs of a queue of which no run is known to have begun.
+    /// Number of active jobs of a queue of which no run is known to have begun.
     pub fn pending(&self, queue: &str) -> usize {
         self.jobs
             .iter()
@@ -460,12 +464,12 @@
             .count()
     }
 
-    /// A worker of the ledger.
+    /// Returns the state of a worker.
     pub fn worker(&self, worker: WorkerIndex) -> &Worker {
         &self.workers[worker as usize]
     }
 
-    /// All workers whose incarnation is not over.
+    /// Iterates over the workers that are not terminated.
     pub fn live_workers(&self) -> impl Iterator<Item = (WorkerIndex, &Worker)> {
         self.workers
             .iter()
@@ -474,12 +478,12 @@
             .map(|(index, worker)| (index as WorkerIndex, worker))
     }
 
-    /// Tasks for which a worker was chosen and that are not known to run yet.
+    /// Number of tasks for which a worker was chosen and that are not known to run yet.
     pub fn starting(&self) -> u32 {
         self.starting
     }
 
-    /// Tasks that wait for a worker.
+    /// Number of groups with waiting tasks.
     pub fn waiting_groups(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/agatesill_policy/src/fleet/takeover.rs
+++ b/crates/agatesill_policy/src/fleet/takeover.rs
@@ -1,4 +1,4 @@
-//! Building the ledger from the stored records after ownership has passed.
+//! Rebuilding of the ledger from the stored records after a takeover.
 
 use super::US_PER_MS;
 use super::colocation::Learned;
@@ -7,12 +7,13 @@
 use super::state::Fleet;
 use super::worker::{Worker, WorkerEntry, WorkerIndex};
 
-/// How long an owner that has lost touch with the store may go on renewing leases. A successor of one that may
-/// do so waits this long, and a lease more, before it counts a task on a silent worker as ended.
+/// How long an owner that has lost contact with the store may continue to renew leases. The
+/// successor of such an owner waits for this time plus one lease before it counts a task on an
+/// unresponsive worker as ended.
 pub const ORPHAN_MS: u64 = 8_000;
 
 impl Fleet {
-    /// Takes in a stored job with its progress; `revision` is that of the progress record.
+    /// Restores a stored job and its progress, a record with its revision.
     pub fn restore(&mut self, spec: JobSpec, progress: Option<(ProgressRecord, u64)>, now_us: u64) {
         if self.by_id.contains_key(&spec.id) {
             return;
@@ -20,7 +21,7 @@
         let mut job = Job::new(spec, now_us);
         let Some((record, revision)) = progress else {
             let slot = self.insert(job);
-            self.open_rounds(slot, now_us);
+            self.open_occurrences(slot, now_us);
             self.restore_ages(slot, None, now_us);
             return;
         };
@@ -34,17 +35,16 @@
             self.restore_task(slot, task, now_us);
         }
         if record.phase == JobPhase::Active {
-            self.open_rounds(slot, now_us);
+            self.open_occurrences(slot, now_us);
             self.restore_ages(slot, Some(&record), now_us);
         } else {
             self.ended_jobs.push((now_us, slot));
         }
     }
 
-    /// Takes in a stored job that has ended. What may still run of it is stopped as a run that the
-    /// ledger does not know.
+    /// Restores a stored job that has ended. Runs that are still present are stopped as stray runs.
     pub fn restore_ended(&mut self, id: &str, phase: JobPhase, now_us: u64) {
-        self.ended_before.insert(id.to_owned(), (phase, now_us));
+        self.retired.insert(id.to_owned(), (phase, now_us));
     }
 
     fn restore_task(&mut self, slot: u32, record: &TaskRecord, now_us: u64) {
@@ -53,7 +53,7 @@
             return;
         }
         let (occurrence, step, _) = job.locate(record.task);
-        let left = job.step_position(occurrence, step);
+        let position = job.step_position(occurrence, step);
         let phase = job.phase;
         let task = &mut job.tasks[record.task as usize];
         task.run = record.run;
@@ -64,28 +64,29 @@
         task.since_us = now_us;
         if record.is_done {
             task.state = TaskState::Done;
-            job.left[left] -= 1;
-            job.left_total -= 1;
+            job.remaining[position] -= 1;
+            job.remaining_total -= 1;
         } else if !record.worker.is_empty() {
-            let worker = self.known_worker(&record.worker);
-            let at = TaskRef { job: slot, task: record.task };
-            self.allocate(at, worker, TaskState::Ordered(worker));
+            let worker = self.worker_or_placeholder(&record.worker);
+            let task_ref = TaskRef { job: slot, task: record.task };
+            self.allocate(task_ref, worker, TaskState::Ordered(worker));
             if let Some(job) = self.jobs[slot as usize].as_mut() {
                 let task = &mut job.tasks[record.task as usize];
-                // Most of them run, some on workers that do not answer.
+                // Most of these runs are present, some on workers that do not answer.
                 self.starting -= u32::from(std::mem::take(&mut task.is_starting));
-                // The first poll under the new epoch bars all older orders, so a run that it does
-                // not show is not there and never will be.
+                // The first poll in the new epoch bars all older orders, so a run missing from its
+                // answer is absent and never starts.
                 task.answered_us = 1;
             }
             if phase != JobPhase::Active {
-                self.stop(at, now_us);
+                self.stop(task_ref, now_us);
             }
         }
     }
 
-    /// The worker of that incarnation, or a placeholder for one that is not registered any more.
-    fn known_worker(&mut self, id: &str) -> WorkerIndex {
+    /// Returns the worker with this identifier, or adds a placeholder for one that is no longer
+    /// registered.
+    fn worker_or_placeholder(&mut self, id: &str) -> WorkerIndex {
         if let Some(index) = self.worker_by_id.get(id) {
             return *index;
         }
@@ -109,19 +110,20 @@
         index
     }
 
-    /// What is learned about images, for the next planner. Without it each takeover would try all
-    /// harmful pairs anew.
+    /// Returns the learned behaviour of images, for the next planner. Without it each takeover
+    /// would try all harmful pairs again.
     pub fn learned(&self) -> Learned {
         self.pressure.learned(&self.images)
     }
 
-    /// Takes in what the planner before has learned.
+    /// Restores the behaviour of images learned by the previous planner.
     pub fn restore_learned(&mut self, learned: &Learned) {
         self.pressure.restore(learned, &mut self.images);
     }
 
-    /// Ends the rebuilding: what runs on silent workers may run until the longest lease that an owner before
-    /// could have asked for; `orphan_ms` is how long one of them may still ask.
+    /// Completes the restore. Runs on unresponsive workers may continue until the longest lease
+    /// that a previous owner could have requested; `orphan_ms` is how long such an owner may still
+    /// request leases.
     pub fn finish_restore(&mut self, orphan_ms: u64, now_us: u64) {
         let until_us = now_us + self.lease_us() + orphan_ms * US_PER_MS;
         for worker in &mut self.workers {
--- a/crates/agatesill_policy/src/fleet/usage.rs
+++ b/crates/agatesill_policy/src/fleet/usage.rs
@@ -1,22 +1,23 @@
-//! How full the workers are, by kind of work, in one line for logs and metrics.
+//! Utilisation of the workers by kind of task, for logs and metrics.
 
 use super::job::{Job, JobPhase, Step, TaskState};
 use super::state::Fleet;
 use super::worker::Worker;
 
-/// What a task asks of a worker, which decides where it may wait and what it competes for.
+/// Kind of a task by its demand on a worker, which decides where it may wait and what it competes
+/// for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskKind {
-    /// Runs until its job is cancelled, on processors reserved for it.
+    /// Runs until its job is cancelled, on reserved CPU.
     LongRunning,
-    /// Runs on processors that others leave unused.
+    /// Runs on CPU time that others leave unused.
     BestEffort,
-    /// Runs to its end on processors reserved for it.
+    /// Runs to completion on reserved CPU.
     Plain,
 }
 
 impl TaskKind {
-    /// The kind of a step's tasks.
+    /// Returns the kind of a step's tasks.
     pub fn of(step: &Step) -> Self {
         if step.is_lasting {
             TaskKind::LongRunning
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Its name in logs.
+    /// Name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             TaskKind::LongRunning => "lasting",
@@ -37,64 +38,64 @@
     }
 }
 
-/// Tasks of one kind that wait.
+/// Waiting tasks of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Waiting {
-    /// Tasks whose turn has come.
+    /// Number of waiting tasks.
     pub tasks: u32,
-    /// Processors that they ask for.
+    /// CPU requested by these tasks.
     pub cpu_milli: u64,
     /// Longest wait among them.
     pub longest_ms: u64,
 }
 
-/// How full the open workers are.
+/// Utilisation of the open workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetUsage {
-    /// Workers that take new tasks.
+    /// Number of workers that take new tasks.
     pub workers: u32,
-    /// Their processors.
+    /// CPU capacity of these workers.
     pub capacity_milli: u64,
-    /// Processors reserved by lasting tasks.
+    /// CPU reserved by long-running tasks.
     pub lasting_milli: u64,
-    /// Processors reserved by plain tasks.
+    /// CPU reserved by tasks that run to completion.
     pub plain_milli: u64,
-    /// Processors asked for by tasks that fill.
+    /// CPU requested by best-effort tasks.
     pub filling_milli: u64,
-    /// Memory that is not reserved.
+    /// Memory that is not allocated.
     pub free_memory_mb: u64,
-    /// Mean tail over target of the workers that serve, in hundredths.
+    /// Mean ratio of tail response time to target over the workers with serving tasks, in percent.
     pub mean_tail_percent: u64,
-    /// Workers with a serving task over its target.
+    /// Number of workers with a serving task over its target.
     pub pressed_workers: u32,
-    /// Lasting tasks that wait.
+    /// Waiting long-running tasks.
     pub lasting: Waiting,
-    /// Tasks that fill and wait.
+    /// Waiting best-effort tasks.
     pub filling: Waiting,
-    /// Plain tasks that wait.
+    /// Waiting tasks that run to completion.
     pub plain: Waiting,
 }
 
 impl Fleet {
-    /// How full the workers are now.
+    /// Returns the current utilisation.
     pub fn usage(&self, now_us: u64) -> FleetUsage {
-        let mut fleet = FleetUsage::default();
+        let mut usage = FleetUsage::default();
         let mut tails = Vec::new();
         for worker in self.workers.iter().filter(|worker| worker.is_open(now_us)) {
-            fleet.add_worker(worker);
+            usage.add_worker(worker);
             if worker.mean_tail > 0.0 {
                 tails.push(worker.mean_tail);
             }
         }
         let sum: f64 = tails.iter().sum();
-        fleet.mean_tail_percent = (sum * 100.0 / tails.len().max(1) as f64) as u64;
+        usage.mean_tail_percent = (sum * 100.0 / tails.len().max(1) as f64) as u64;
         for group in &self.waiting {
             let Some(job) = self.job(group.job).filter(|job| job.phase == JobPhase::Active) else {
                 continue;
             };
-            fleet.add_waiting(job, group.occurrence, group.step, now_us);
+            usage.add_waiting(job, group.occurrence, group.step, now_us);
         }
-        fleet
+        usage
     }
 }
 
--- a/crates/agatesill_policy/src/fleet/worker.rs
+++ b/crates/agatesill_policy/src/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! Workers as the registry describes them and as they answer.
+//! Workers as described by the registry and by their answers to polls.
 
 use std::collections::VecDeque;
 
@@ -9,31 +9,32 @@
 use super::job::{TaskKey, TaskRef};
 use super::slow::WorkerSpeed;
 
-/// Place of a worker in the ledger. Never used again within one ledger.
+/// Index of a worker in the ledger; never reused within one ledger.
 pub type WorkerIndex = u32;
 
 value_type! {
-    /// One incarnation of a worker, as it registers itself.
+    /// Registration of one worker incarnation.
     pub struct WorkerEntry {
-        /// Identity of this incarnation.
+        /// Identifier of the incarnation.
         pub id: String,
-        /// Where its calls go.
+        /// Address for calls to the worker.
         pub address: String,
-        /// Service that it belongs to.
+        /// Service to which the worker belongs.
         pub service: String,
         /// Availability zone.
         pub zone: String,
-        /// Rack; empty if it names none.
+        /// Rack; empty if unknown.
         pub rack: String,
-        /// All labels, the rack among them.
+        /// All labels, including the rack.
         pub labels: Vec<String>,
-        /// What it can carry.
+        /// Total resources.
         pub capacity: Resources,
-        /// Whether it has announced that it leaves.
+        /// Whether the worker has announced that it is leaving.
         pub is_leaving: bool,
-        /// Least time until it leaves; only while it is leaving.
+        /// Minimum time until the worker leaves; set only while it is leaving.
         pub leaves_in_ms: u64,
-        /// How much longer it runs everything slower than usual, as after its start.
+        /// Remaining time for which the worker runs all tasks slower than usual, as after its
+        /// start.
         #[serde(default)]
         pub cold_ms: u64,
         /// Store revision at which the entry was last written; 0 if unknown.
@@ -43,35 +44,35 @@
 }
 
 value_type! {
-    /// How a run ended.
+    /// Cause of the end of a run.
     pub enum EndCause {
-        /// It finished.
+        /// The run finished.
         Done,
-        /// It failed, by its own fault or the worker's.
+        /// The run failed, by a fault of the task or of the worker.
         Failed,
-        /// It was stopped.
+        /// The run was stopped.
         Stopped,
-        /// Its lease ran out.
+        /// The lease of the run expired.
         Lapsed,
-        /// Another member of its gang ended.
+        /// Another member of the gang ended.
         Broken,
-        /// The other members of its gang did not come in time.
+        /// The other members of the gang did not start in time.
         Alone,
-        /// A cause that this program does not know.
+        /// The cause is unknown to this program.
         Unknown,
     }
 }
 
-/// A run that ended, as its worker lists it.
+/// An ended run, as reported by its worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndRow {
-    /// Counts ends within one incarnation of the worker.
+    /// Sequence number of the end within one worker incarnation.
     pub number: u64,
-    /// The task.
+    /// Key of the task.
     pub task: TaskKey,
-    /// Its run.
+    /// Run number.
     pub run: u32,
-    /// How it ended.
+    /// Cause of the end.
     pub cause: EndCause,
     /// Newest checkpoint; empty if there is none.
     pub saved: String,
@@ -80,113 +81,114 @@
 /// A run that is present at its worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunRow {
-    /// The task.
+    /// Key of the task.
     pub task: TaskKey,
-    /// Its run.
+    /// Run number.
     pub run: u32,
     /// Newest checkpoint; empty if there is none.
     pub saved: String,
-    /// Progress; of a lasting task 100 means that it is at work.
+    /// Progress. A long-running task is ready at 100.
     pub percent: u32,
-    /// For a task that serves the tail answer time in milliseconds, else the processors used in
-    /// thousandths, both over the last half second.
+    /// Tail response time in milliseconds for a serving task, otherwise CPU use in thousandths of a
+    /// core; both over the last half second.
     pub figure: u64,
 }
 
-/// What a worker answered when it was polled.
+/// Answer of a worker to a poll.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Poll {
-    /// When the call was sent.
+    /// When the poll was sent.
     pub sent_us: u64,
-    /// Lease that the call asked for, counted from when it was sent.
+    /// Lease requested by the poll, counted from when it was sent.
     pub lease_ms: u64,
-    /// The worker's clock.
+    /// Clock of the worker.
     pub clock_ms: u64,
-    /// Runs present.
+    /// Runs present at the worker.
     pub running: Vec<RunRow>,
-    /// Ends that are not acknowledged.
+    /// Ends that are not acknowledged yet.
     pub ended: Vec<EndRow>,
 }
 
-/// How far a worker can be counted on.
+/// Liveness of a worker, as known to the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerStanding {
-    /// Registered, but not polled yet under the present epoch: what runs there is not known.
+    /// Registered but not polled yet in the current epoch, so its runs are unknown.
     New,
-    /// It answers.
+    /// The worker answers calls.
     Good,
-    /// It did not answer the newest call.
+    /// The worker did not answer the newest call.
     Silent,
-    /// Its incarnation is over; nothing runs there.
+    /// The incarnation has terminated; no run is present on it.
     Gone,
 }
 
-/// One incarnation of a worker.
+/// State of one worker incarnation.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// As it registers itself.
+    /// Registration of the worker.
     pub entry: WorkerEntry,
-    /// Whether the registry lists it.
+    /// Whether the registry lists the worker.
     pub is_listed: bool,
-    /// How far it can be counted on.
+    /// Liveness of the worker.
     pub standing: WorkerStanding,
-    /// Charged for tasks that run, may run or were chosen.
+    /// Resources allocated to tasks that run, may run or were chosen.
     pub used: Resources,
-    /// Processors wanted by the tasks that fill there.
+    /// CPU requested by the best-effort tasks on the worker.
     pub best_effort_cpu_milli: u64,
-    /// Lasting tasks there.
+    /// Number of long-running tasks on the worker.
     pub lasting: u32,
-    /// Processors reserved by them.
+    /// CPU reserved by the long-running tasks on the worker.
     pub long_running_cpu_milli: u64,
     /// Serving tasks by image.
     pub(super) serving: ImageCounts,
-    /// Tasks that fill, by image.
+    /// Best-effort tasks by image.
     pub(super) filling: ImageCounts,
-    /// Highest tail over target among its serving tasks at the last poll.
+    /// Highest ratio of tail response time to target among the serving tasks at the last poll.
     pub worst_tail: f64,
-    /// The mean of these tails; 0 before the first poll.
+    /// Mean of these ratios; 0 before the first poll.
     pub mean_tail: f64,
-    /// When its figures were last taken in.
+    /// When the reported figures were last evaluated.
     pub sampled_us: u64,
-    /// Tasks that are charged.
+    /// Tasks with an allocation on the worker.
     pub tasks: Vec<TaskRef>,
-    /// Newest end that was taken into the ledger.
-    pub seen_end: u64,
-    /// Newest end whose effect is committed: the worker may forget up to here.
+    /// Newest end that was applied to the ledger.
+    pub applied_end: u64,
+    /// Newest end whose effect is committed. The worker may discard ends up to this one.
     pub acked_end: u64,
-    /// Ends between the two: number, job slot and the job's version that holds the effect.
+    /// Ends between these two: sequence number, job slot and the version of the job that holds the
+    /// effect.
     pub unacked: VecDeque<(u64, u32, u64)>,
-    /// Its clock less ours, in milliseconds, when it last answered.
+    /// Worker clock minus local clock at the last answer.
     pub clock_offset_ms: i64,
-    /// Latest moment, on our clock, to which any lease that was asked of it may reach.
+    /// Latest local time to which any requested lease may extend.
     pub lease_until_us: u64,
-    /// When it last answered.
+    /// When the worker last answered a poll.
     pub answered_us: u64,
-    /// Calls in a row without an answer.
-    pub silent_calls: u32,
-    /// Whether its zone takes no new work.
+    /// Consecutive calls without an answer.
+    pub unanswered_calls: u32,
+    /// Whether the zone of the worker is closed to new work.
     pub is_zone_closed: bool,
-    /// Whether its last poll reported stray runs. They are not part of `used`, but take up capacity
+    /// Whether the last poll reported stray runs. They are not part of `used`, but occupy capacity
     /// until they have stopped.
     pub has_stray_runs: bool,
-    /// Until when it runs everything slower than usual.
+    /// Time until which the worker runs all tasks slower than usual.
     pub cold_until_us: u64,
-    /// No new tasks before this moment.
+    /// Time before which no new tasks are sent.
     pub closed_until_us: u64,
-    /// Failed ends in a row, and the jobs that they were of.
-    pub failed_in_a_row: Vec<u32>,
-    /// Times that it was closed for failing.
+    /// Jobs of the consecutive runs that failed.
+    pub consecutive_failures: Vec<u32>,
+    /// Quarantines since the last run that completed.
     pub quarantines: u32,
-    /// Number of its tasks that are to be placed apart from other suspects.
+    /// Number of tasks to be placed apart from other suspects.
     pub isolated_tasks: u32,
-    /// How fast its tasks were seen to run.
+    /// Observed speed of the tasks on the worker.
     pub(super) speed: WorkerSpeed,
-    /// Serving tasks there that were over their target, since when.
+    /// Since when a serving task has exceeded its target; 0 if none does.
     pub over_since_us: u64,
 }
 
 impl Worker {
-    /// A worker that has just been listed.
+    /// Creates the state of a worker that has just been listed.
     pub fn new(entry: WorkerEntry) -> Self {
         Self {
             entry,
@@ -202,18 +204,18 @@
             mean_tail: 0.0,
             sampled_us: 0,
             tasks: Vec::new(),
-            seen_end: 0,
+            applied_end: 0,
             acked_end: 0,
             unacked: VecDeque::new(),
             clock_offset_ms: 0,
             lease_until_us: 0,
             answered_us: 0,
-            silent_calls: 0,
+            unanswered_calls: 0,
             is_zone_closed: false,
             has_stray_runs: false,
             cold_until_us: 0,
             closed_until_us: 0,
-            failed_in_a_row: Vec::new(),
+            consecutive_failures: Vec::new(),
             quarantines: 0,
             isolated_tasks: 0,
             speed: WorkerSpeed::default(),
@@ -221,44 +223,44 @@
         }
     }
 
-    /// Whether new tasks may be sent there.
+    /// Whether new tasks may be sent to the worker.
     pub fn is_open(&self, now_us: u64) -> bool {
         self.is_available() && now_us >= self.closed_until_us
     }
 
-    /// Whether it answers, is registered, stays and lies in an open zone; it may be closed for
-    /// failing what it starts.
+    /// Whether the worker answers, is registered, is not leaving and is in an open zone. It may
+    /// still be quarantined.
     pub fn is_available(&self) -> bool {
         self.standing == WorkerStanding::Good && self.is_listed && self.takes_starts()
     }
 
-    /// Whether starts may still be sent there: it does not leave, and its zone takes work.
+    /// Whether starts may still be sent: the worker is not leaving, and its zone is open.
     pub fn takes_starts(&self) -> bool {
         !self.entry.is_leaving && !self.is_zone_closed
     }
 
-    /// Whether it still runs everything slower than usual.
+    /// Whether the worker still runs all tasks slower than usual.
     pub fn is_cold(&self, now_us: u64) -> bool {
         now_us < self.cold_until_us
     }
 
-    /// Whether one more task with this charge fits its present capacity in every dimension. False while
-    /// stray runs take up an unknown part of it.
-    pub fn has_capacity_for(&self, charge: &Resources) -> bool {
-        !self.has_stray_runs && self.entry.capacity.holds(&self.used.plus(charge))
+    /// Whether one more allocation fits the current capacity in every dimension. False while stray
+    /// runs occupy an unknown part of it.
+    pub fn has_capacity_for(&self, allocation: &Resources) -> bool {
+        !self.has_stray_runs && self.entry.capacity.holds(&self.used.plus(allocation))
     }
 
-    /// Whether the charges of its tasks exceed its capacity, which can shrink at run time.
+    /// Whether the allocations exceed the capacity, which can shrink at run time.
     pub fn is_over_capacity(&self) -> bool {
         !self.entry.capacity.holds(&self.used)
     }
 
-    /// Processors reserved by tasks that end by themselves.
+    /// CPU reserved by tasks that run to completion.
     pub fn plain_cpu_milli(&self) -> u64 {
         self.used.cpu_milli.saturating_sub(self.long_running_cpu_milli)
     }
 
-    /// What is not charged.
+    /// Resources that are not allocated.
     pub fn free(&self) -> Resources {
         self.entry.capacity.minus(&self.used)
     }
--- a/crates/agatesill_policy/src/fleet/zones.rs
+++ b/crates/agatesill_policy/src/fleet/zones.rs
@@ -1,7 +1,7 @@
-//! Availability zones that take no new work.
+//! Availability zones closed to new work.
 //!
-//! Load pattern: operators evacuate a zone while work arrives and starts are on their way to its
-//! workers; what runs there ends by itself and everything new goes to the other zones.
+//! Operators evacuate a zone while jobs arrive and starts are in flight to its workers. Runs in the
+//! zone end by themselves, and all new work goes to the other zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,12 +9,12 @@
 use super::state::{Fleet, TaskGroup};
 use super::worker::WorkerIndex;
 
-/// A zone that takes no new work, as the store holds it.
+/// A zone closed to new work, as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClosedZone {
     /// Name of the availability zone.
     pub zone: String,
-    /// Revision of the store at which it was closed.
+    /// Store revision at which the zone was closed.
     pub revision: u64,
 }
 
@@ -22,42 +22,42 @@
 pub(super) type ClosedZones = BTreeMap<String, u64>;
 
 impl Fleet {
-    /// Whether a zone takes no new work.
+    /// Whether a zone is closed to new work.
     pub fn is_zone_closed(&self, zone: &str) -> bool {
         self.closed_zones.contains_key(zone)
     }
 
-    /// Takes in that a zone takes no new work.
+    /// Closes a zone to new work and withdraws the choices of its workers.
     pub fn close_zone(&mut self, closed: &ClosedZone, now_us: u64) {
-        let known = self.closed_zones.entry(closed.zone.clone()).or_insert(closed.revision);
-        *known = closed.revision.max(*known);
-        let workers = self.mark_zone(&closed.zone, true);
+        let newest_revision =
+            self.closed_zones.entry(closed.zone.clone()).or_insert(closed.revision);
+        *newest_revision = closed.revision.max(*newest_revision);
+        let workers = self.set_zone_closed(&closed.zone, true);
         if workers.is_empty() {
             return;
         }
         let tasks: Vec<TaskRef> = workers
             .iter()
             .flat_map(|index| self.workers[*index as usize].tasks.iter().copied())
-            .filter(|at| matches!(self.task_state(*at), TaskState::Chosen(_)))
+            .filter(|task_ref| matches!(self.task_state(*task_ref), TaskState::Chosen(_)))
             .collect();
         log::info!(event = "zone_closed", zone = closed.zone.as_str(), revision = closed.revision,
-            workers = workers.len(), withdrawn = tasks.len(); "takes no new work");
-        tasks.into_iter().for_each(|at| self.withdraw(at, now_us));
+            workers = workers.len(), withdrawn = tasks.len(); "zone closed to new work");
+        tasks.into_iter().for_each(|task_ref| self.withdraw(task_ref, now_us));
     }
 
-    /// Takes in that a zone takes work again, as of a revision of the store. News that is older than
-    /// the closing changes nothing.
+    /// Opens a zone again, as of a store revision. Updates older than the closing are ignored.
     pub fn open_zone(&mut self, zone: &str, revision: u64) {
         if self.closed_zones.get(zone).is_none_or(|closed| *closed > revision) {
             return;
         }
         self.closed_zones.remove(zone);
-        let workers = self.mark_zone(zone, false);
+        let workers = self.set_zone_closed(zone, false);
         log::info!(event = "zone_opened", zone = zone, revision = revision,
-            workers = workers.len(); "takes work again");
+            workers = workers.len(); "zone open to new work");
     }
 
-    /// Takes in a whole reading of the closed zones at a revision of the store.
+    /// Applies a complete list of the closed zones, read at a store revision.
     pub fn set_closed_zones(&mut self, closed: &[ClosedZone], revision: u64, now_us: u64) {
         let is_closed = |zone: &String| closed.iter().any(|entry| entry.zone == *zone);
         let opened: Vec<String> =
@@ -66,8 +66,8 @@
         closed.iter().for_each(|entry| self.close_zone(entry, now_us));
     }
 
-    /// Marks the workers of a zone; returns those for which that is new.
-    fn mark_zone(&mut self, zone: &str, is_closed: bool) -> Vec<WorkerIndex> {
+    /// Sets the mark on the workers of a zone. Returns the workers whose mark changed.
+    fn set_zone_closed(&mut self, zone: &str, is_closed: bool) -> Vec<WorkerIndex> {
         let changed: Vec<WorkerIndex> = self
             .live_workers()
             .filter(|(_, worker)| worker.entry.zone == zone && worker.is_zone_closed != is_closed)
@@ -80,27 +80,28 @@
         changed
     }
 
-    /// Takes a choice back whose start was not ordered yet; of a gang, all choices of the step.
-    pub(super) fn withdraw(&mut self, at: TaskRef, now_us: u64) {
-        let Some(job) = self.job(at.job) else { return };
-        let (occurrence, step, _) = job.locate(at.task);
+    /// Withdraws a choice whose start has not been ordered yet; for a gang, all choices of the
+    /// step.
+    pub(super) fn withdraw(&mut self, task_ref: TaskRef, now_us: u64) {
+        let Some(job) = self.job(task_ref.job) else { return };
+        let (occurrence, step, _) = job.locate(task_ref.task);
         let members: Vec<u32> = if job.spec.steps[step as usize].is_gang {
             job.tasks_of(occurrence, step).collect()
         } else {
-            vec![at.task]
+            vec![task_ref.task]
         };
         for task in members {
-            let at = TaskRef { job: at.job, task };
-            if matches!(self.task_state(at), TaskState::Chosen(_)) {
-                self.release(at, TaskState::Waiting, now_us);
+            let task_ref = TaskRef { job: task_ref.job, task };
+            if matches!(self.task_state(task_ref), TaskState::Chosen(_)) {
+                self.release(task_ref, TaskState::Waiting, now_us);
             }
         }
-        self.waiting.insert(TaskGroup { job: at.job, occurrence, step });
-        self.mark_urgent(at.job, now_us);
+        self.waiting.insert(TaskGroup { job: task_ref.job, occurrence, step });
+        self.mark_urgent(task_ref.job, now_us);
     }
 
-    /// The zones in which starts wait for a job's record.
-    pub(super) fn zones_of_choices(&self, slot: u32) -> BTreeSet<String> {
+    /// Returns the zones in which starts wait for a job's record.
+    pub(super) fn zones_awaiting_starts(&self, slot: u32) -> BTreeSet<String> {
         let Some(job) = self.job(slot) else { return BTreeSet::new() };
         let chosen = job.tasks.iter().filter_map(|task| match task.state {
             TaskState::Chosen(worker) => Some(&self.workers[worker as usize].entry.zone),
--- a/crates/agatesill_policy/tests/fleet_random.rs
+++ b/crates/agatesill_policy/tests/fleet_random.rs
@@ -1,10 +1,10 @@
-//! Random events against the ledger, with what must always hold asserted after each.
+//! Random events against the ledger, with all invariants checked after each.
 //!
-//! Workers are cut off, lose answers, carry orders out late, come back as other lives; planners die
-//! and take over from the stored records; jobs are cancelled and fail. `FLEET_SEEDS` sets how many
-//! seeds are played, `FLEET_SEED` plays one.
+//! Workers are partitioned, lose answers, carry out orders late and return as new incarnations.
+//! Planners terminate, and successors take over from the stored records. Jobs are cancelled and
+//! fail. `FLEET_SEEDS` sets the number of seeds, `FLEET_SEED` runs a single one.
 
-#![allow(clippy::unwrap_used)] // A broken assumption of a test ends the test.
+#![allow(clippy::unwrap_used)] // Tests panic on a failed assumption.
 
 mod fleet_support;
 
@@ -18,17 +18,17 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Seeds of an ordinary run; thousands are played by hand.
-const SEEDS: u64 = 300;
+/// Number of seeds in a regular run; thousands are run manually.
+const DEFAULT_SEEDS: u64 = 300;
 
-/// Events of one seed.
-const EVENTS: usize = 250;
+/// Number of events per seed.
+const EVENTS_PER_SEED: usize = 250;
 
-/// The lease that calls ask for, on a clock that is up to 2% slow.
+/// Lease requested by calls, on a clock that is up to 2% slow.
 const LEASE_US: u64 = 5_000 * MS * 102 / 100;
 
-/// One incarnation of a worker as it really is.
-struct Real {
+/// Actual state of one worker incarnation.
+struct SimulatedWorker {
     entry: WorkerEntry,
     runs: BTreeMap<(String, u32), RunRow>,
     ended: Vec<EndRow>,
@@ -36,52 +36,52 @@
     barred: BTreeMap<String, u32>,
     lease_until_us: u64,
     epoch: u64,
-    is_cut: bool,
+    is_partitioned: bool,
 }
 
-struct World {
-    rig: Harness,
-    real: BTreeMap<String, Real>,
+struct Simulation {
+    harness: Harness,
+    workers: BTreeMap<String, SimulatedWorker>,
     jobs: Vec<JobSpec>,
     cancelled: BTreeSet<String>,
     done: BTreeSet<String>,
-    /// The naive twin: tasks with an end `done` at any worker, whatever the ledger made of it.
+    /// Reference model: tasks that any worker reported as done, regardless of the ledger.
     finished: BTreeSet<String>,
     late: Vec<(String, Order, u64)>,
     epoch: u64,
-    lives: u32,
+    incarnations: u32,
     random: Pcg64Mcg,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut world = Self {
-            rig: Harness::new(Vec::new()),
-            real: BTreeMap::new(),
+        let mut simulation = Self {
+            harness: Harness::new(Vec::new()),
+            workers: BTreeMap::new(),
             jobs: Vec::new(),
             cancelled: BTreeSet::new(),
             done: BTreeSet::new(),
             finished: BTreeSet::new(),
             late: Vec::new(),
             epoch: 1,
-            lives: 0,
+            incarnations: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
         };
         for place in 0..4 {
-            world.born(place);
+            simulation.start_incarnation(place);
         }
-        world
+        simulation
     }
 
-    /// A new incarnation at one of four addresses; whatever lived there is over.
-    fn born(&mut self, place: u32) {
+    /// Starts a new incarnation at one of four addresses and terminates the previous one.
+    fn start_incarnation(&mut self, place: u32) {
         let address = format!("10.0.0.{place}:80");
-        self.real.retain(|_, real| real.entry.address != address);
-        self.lives += 1;
-        let id = format!("incarnation{}", self.lives);
+        self.workers.retain(|_, worker| worker.entry.address != address);
+        self.incarnations += 1;
+        let id = format!("incarnation{}", self.incarnations);
         let mut entry = entry(&id, if place % 2 == 0 { "r1-1" } else { "r1-2" });
         entry.address = address;
-        let real = Real {
+        let worker = SimulatedWorker {
             entry: entry.clone(),
             runs: BTreeMap::new(),
             ended: Vec::new(),
@@ -89,36 +89,36 @@
             barred: BTreeMap::new(),
             lease_until_us: 0,
             epoch: 0,
-            is_cut: false,
+            is_partitioned: false,
         };
-        self.real.insert(id, real);
-        self.rig.list(entry);
+        self.workers.insert(id, worker);
+        self.harness.list(entry);
     }
 
     fn step(&mut self) {
         match self.random.random_range(0..100) {
             0..12 => self.submit(),
             12..15 => self.cancel(),
-            15..18 => self.cut(),
-            18..26 => self.mend(),
+            15..18 => self.partition(),
+            18..26 => self.reconnect(),
             26..28 => {
                 let place = self.random.random_range(0..4);
-                self.born(place);
+                self.start_incarnation(place);
             }
             28..30 => self.take_over(),
-            30..55 => self.end_one(),
-            55..60 => self.carry_out_late(),
+            30..55 => self.end_first_run(),
+            55..60 => self.execute_late_order(),
             _ => {
                 let ms = self.random.random_range(20..700);
-                self.rig.advance_ms(ms);
+                self.harness.advance_ms(ms);
             }
         }
-        self.note_finished();
-        self.lapse();
-        self.give_up_waiting();
+        self.record_finished();
+        self.expire_leases();
+        self.end_incomplete_gangs();
         self.poll_all();
-        self.rig.fleet.expire_workers(self.rig.now_us, self.rig.now_us);
-        self.act();
+        self.harness.fleet.expire_workers(self.harness.now_us, self.harness.now_us);
+        self.execute_orders();
         self.check();
     }
 
@@ -134,7 +134,7 @@
         steps[0].saves_progress = self.random.random_bool(0.5);
         let spec = job(&format!("job{}", self.jobs.len()), steps);
         self.jobs.push(spec.clone());
-        self.rig.fleet.accept(spec, self.rig.now_us);
+        self.harness.fleet.accept(spec, self.harness.now_us);
     }
 
     fn cancel(&mut self) {
@@ -143,93 +143,100 @@
         }
         let index = self.random.random_range(0..self.jobs.len());
         let id = self.jobs[index].id.clone();
-        self.rig.fleet.cancel(&id, self.rig.now_us);
+        self.harness.fleet.cancel(&id, self.harness.now_us);
         self.cancelled.insert(id);
     }
 
-    fn some_life(&mut self) -> Option<String> {
-        let ids: Vec<String> = self.real.keys().cloned().collect();
+    fn random_worker(&mut self) -> Option<String> {
+        let ids: Vec<String> = self.workers.keys().cloned().collect();
         (!ids.is_empty()).then(|| ids[self.random.random_range(0..ids.len())].clone())
     }
 
-    fn cut(&mut self) {
-        if let Some(real) = self.some_life().and_then(|id| self.real.get_mut(&id)) {
-            real.is_cut = true;
-            self.rig.fleet.worker_unlisted(&real.entry.id);
+    fn partition(&mut self) {
+        if let Some(worker) = self.random_worker().and_then(|id| self.workers.get_mut(&id)) {
+            worker.is_partitioned = true;
+            self.harness.fleet.worker_unlisted(&worker.entry.id);
         }
     }
 
-    fn mend(&mut self) {
-        if let Some(real) = self.some_life().and_then(|id| self.real.get_mut(&id)) {
-            real.is_cut = false;
-            let entry = real.entry.clone();
-            self.rig.list(entry);
+    fn reconnect(&mut self) {
+        if let Some(worker) = self.random_worker().and_then(|id| self.workers.get_mut(&id)) {
+            worker.is_partitioned = false;
+            let entry = worker.entry.clone();
+            self.harness.list(entry);
         }
     }
 
-    /// The planner dies; another one reads the records and polls the workers it reaches.
+    /// Terminates the planner. A successor reads the records and polls the reachable workers.
     fn take_over(&mut self) {
-        self.rig.commit();
-        let entries: Vec<WorkerEntry> =
-            self.real.values().filter(|real| !real.is_cut).map(|real| real.entry.clone()).collect();
-        self.rig.fleet = self.rig.successor(&self.jobs, entries);
+        self.harness.commit();
+        let entries: Vec<WorkerEntry> = self
+            .workers
+            .values()
+            .filter(|worker| !worker.is_partitioned)
+            .map(|worker| worker.entry.clone())
+            .collect();
+        self.harness.fleet = self.harness.successor(&self.jobs, entries);
         for id in self.cancelled.clone() {
-            self.rig.fleet.cancel(&id, self.rig.now_us);
+            self.harness.fleet.cancel(&id, self.harness.now_us);
         }
         self.epoch += 1;
     }
 
-    fn end_one(&mut self) {
-        let Some(id) = self.some_life() else { return };
+    fn end_first_run(&mut self) {
+        let Some(id) = self.random_worker() else { return };
         let fails = self.random.random_bool(0.1);
-        let Some(row) = self.real[&id].runs.values().next().cloned() else { return };
+        let Some(row) = self.workers[&id].runs.values().next().cloned() else { return };
         let cause = if fails { EndCause::Failed } else { EndCause::Done };
         if self.step_of(&row.task).is_gang {
             self.end_gang(&row, cause);
-        } else if let Some(real) = self.real.get_mut(&id) {
-            real.end(&row.task, row.run, cause);
+        } else if let Some(worker) = self.workers.get_mut(&id) {
+            worker.end(&row.task, row.run, cause);
         }
     }
 
-    /// The members of a gang work only while all are there, and end together.
+    /// Ends the members of a gang together; they make progress only while all are present.
     fn end_gang(&mut self, first: &RunRow, cause: EndCause) {
         let is_member = |row: &&RunRow| {
             (&row.task.job, row.task.step, row.run) == (&first.task.job, first.task.step, first.run)
         };
-        let present: usize =
-            self.real.values().map(|real| real.runs.values().filter(is_member).count()).sum();
+        let present: usize = self
+            .workers
+            .values()
+            .map(|worker| worker.runs.values().filter(is_member).count())
+            .sum();
         if present < self.step_of(&first.task).count as usize {
             return;
         }
-        for real in self.real.values_mut() {
-            let members: Vec<RunRow> = real.runs.values().filter(is_member).cloned().collect();
+        for worker in self.workers.values_mut() {
+            let members: Vec<RunRow> = worker.runs.values().filter(is_member).cloned().collect();
             for row in members {
                 let is_first = row.task == first.task;
-                let own =
+                let own_cause =
                     if cause == EndCause::Failed && !is_first { EndCause::Broken } else { cause };
-                real.end(&row.task, row.run, own);
+                worker.end(&row.task, row.run, own_cause);
             }
         }
     }
 
-    fn lapse(&mut self) {
-        for real in self.real.values_mut() {
-            if self.rig.now_us > real.lease_until_us {
-                while let Some((key, row)) = real.runs.pop_first() {
-                    real.end(&row.task, key.1, EndCause::Lapsed);
+    fn expire_leases(&mut self) {
+        for worker in self.workers.values_mut() {
+            if self.harness.now_us > worker.lease_until_us {
+                while let Some((key, row)) = worker.runs.pop_first() {
+                    worker.end(&row.task, key.1, EndCause::Lapsed);
                 }
             }
         }
     }
 
-    /// Members of a gang that wait in vain for the others end after a while.
-    fn give_up_waiting(&mut self) {
+    /// Ends the members of incomplete gangs, as after waiting too long for the others.
+    fn end_incomplete_gangs(&mut self) {
         if !self.random.random_bool(0.05) {
             return;
         }
         let mut present: BTreeMap<(String, u32, u32), u32> = BTreeMap::new();
         let group = |row: &RunRow| (row.task.job.clone(), row.task.step, row.run);
-        for row in self.real.values().flat_map(|real| real.runs.values()) {
+        for row in self.workers.values().flat_map(|worker| worker.runs.values()) {
             *present.entry(group(row)).or_default() += 1;
         }
         let gangs: BTreeMap<String, u32> = self
@@ -238,8 +245,8 @@
             .filter(|spec| spec.steps[0].is_gang)
             .map(|spec| (spec.id.clone(), spec.steps[0].count))
             .collect();
-        for real in self.real.values_mut() {
-            let alone: Vec<RunRow> = real
+        for worker in self.workers.values_mut() {
+            let alone: Vec<RunRow> = worker
                 .runs
                 .values()
                 .filter(|row| row.task.step == 0)
@@ -248,124 +255,129 @@
                 })
                 .cloned()
                 .collect();
-            alone.iter().for_each(|row| real.end(&row.task, row.run, EndCause::Alone));
+            alone.iter().for_each(|row| worker.end(&row.task, row.run, EndCause::Alone));
         }
     }
 
     fn index_of(&self, id: &str) -> Option<WorkerIndex> {
-        self.rig.fleet.live_workers().find(|(_, w)| w.entry.id == id).map(|(index, _)| index)
+        self.harness.fleet.live_workers().find(|(_, w)| w.entry.id == id).map(|(index, _)| index)
     }
 
     fn poll_all(&mut self) {
-        for id in self.real.keys().cloned().collect::<Vec<_>>() {
+        for id in self.workers.keys().cloned().collect::<Vec<_>>() {
             let Some(index) = self.index_of(&id) else { continue };
-            let Some(real) = self.real.get_mut(&id) else { continue };
-            let sent_us = self.rig.now_us;
-            if real.is_cut {
-                self.rig.fleet.worker_silent(index, sent_us);
+            let Some(worker) = self.workers.get_mut(&id) else { continue };
+            let sent_us = self.harness.now_us;
+            if worker.is_partitioned {
+                self.harness.fleet.worker_silent(index, sent_us);
                 continue;
             }
-            real.epoch = self.epoch;
-            real.lease_until_us = real.lease_until_us.max(sent_us + LEASE_US);
-            let acked = self.rig.fleet.acked_end(index);
-            real.ended.retain(|end| end.number > acked);
+            worker.epoch = self.epoch;
+            worker.lease_until_us = worker.lease_until_us.max(sent_us + LEASE_US);
+            let acked = self.harness.fleet.acked_end(index);
+            worker.ended.retain(|end| end.number > acked);
             let poll = Poll {
                 sent_us,
                 lease_ms: 5_000,
                 clock_ms: sent_us / MS,
-                running: real.runs.values().cloned().collect(),
-                ended: real.ended.clone(),
+                running: worker.runs.values().cloned().collect(),
+                ended: worker.ended.clone(),
             };
-            self.rig.advance_ms(1);
-            self.rig.fleet.polled(index, &poll, self.rig.now_us);
+            self.harness.advance_ms(1);
+            self.harness.fleet.polled(index, &poll, self.harness.now_us);
         }
     }
 
-    fn act(&mut self) {
-        for order in self.rig.plan() {
+    fn execute_orders(&mut self) {
+        for order in self.harness.plan() {
             if matches!(order.kind, OrderKind::Start { .. }) {
                 self.check_start(&order);
             }
-            let id = self.rig.fleet.worker(order.worker).entry.id.clone();
-            let now_us = self.rig.now_us;
-            let Some(real) = self.real.get_mut(&id).filter(|real| !real.is_cut) else {
-                self.rig.fleet.order_answered(&order, OrderOutcome::Unanswered, now_us);
+            let id = self.harness.fleet.worker(order.worker).entry.id.clone();
+            let now_us = self.harness.now_us;
+            let Some(worker) = self.workers.get_mut(&id).filter(|worker| !worker.is_partitioned)
+            else {
+                self.harness.fleet.order_answered(&order, OrderOutcome::Unanswered, now_us);
                 continue;
             };
             match self.random.random_range(0..20) {
                 0 => {
                     self.late.push((id, order.clone(), self.epoch));
-                    self.rig.fleet.order_answered(&order, OrderOutcome::Unanswered, now_us);
+                    self.harness.fleet.order_answered(&order, OrderOutcome::Unanswered, now_us);
                 }
                 1 => {
-                    real.obey(&order, now_us);
-                    self.rig.fleet.lease_requested(order.worker, now_us);
-                    self.rig.fleet.order_answered(&order, OrderOutcome::Unanswered, now_us);
+                    worker.execute(&order, now_us);
+                    self.harness.fleet.lease_requested(order.worker, now_us);
+                    self.harness.fleet.order_answered(&order, OrderOutcome::Unanswered, now_us);
                 }
                 _ => {
-                    let outcome = real.obey(&order, now_us);
-                    self.rig.fleet.lease_requested(order.worker, now_us);
-                    self.rig.fleet.order_answered(&order, outcome, now_us);
+                    let outcome = worker.execute(&order, now_us);
+                    self.harness.fleet.lease_requested(order.worker, now_us);
+                    self.harness.fleet.order_answered(&order, outcome, now_us);
                 }
             }
         }
     }
 
-    fn carry_out_late(&mut self) {
+    fn execute_late_order(&mut self) {
         if self.late.is_empty() {
             return;
         }
         let (id, order, epoch) = self.late.remove(0);
-        if let Some(real) = self.real.get_mut(&id) {
-            // Its lease is the one asked for when it was sent; a later one holds if there is any.
-            // A worker that a later planner has polled obeys no earlier one.
-            if epoch >= real.epoch && real.lease_until_us > self.rig.now_us {
-                real.obey(&order, 0);
+        if let Some(worker) = self.workers.get_mut(&id) {
+            // The order is covered by the lease requested when it was sent, or by a later one. A
+            // worker that was polled by a later planner ignores earlier ones.
+            if epoch >= worker.epoch && worker.lease_until_us > self.harness.now_us {
+                worker.execute(&order, 0);
             }
         }
     }
 
-    fn note_finished(&mut self) {
-        let ends = self.real.values().flat_map(|real| real.ended.iter());
+    fn record_finished(&mut self) {
+        let ends = self.workers.values().flat_map(|worker| worker.ended.iter());
         let done = ends.filter(|end| end.cause == EndCause::Done).map(|end| name(&end.task));
         self.finished.extend(done);
     }
 
-    /// What the naive twin says of a start: its job is not cancelled, and every task of the steps
-    /// that it waits for has finished somewhere.
+    /// Checks a start against the reference model: its job is not cancelled, and every task of the
+    /// steps on which it depends has finished on some worker.
     fn check_start(&self, order: &Order) {
         let id = &order.task.job;
         assert!(!self.cancelled.contains(id), "{id} starts after it was cancelled");
         for before in &self.step_of(&order.task).after {
             for index in 0..self.spec_of(id).steps[*before as usize].count {
                 let task = format!("{id}.0.{before}.{index}");
-                assert!(self.finished.contains(&task), "{} before {task}", name(&order.task));
+                assert!(
+                    self.finished.contains(&task),
+                    "{} starts before {task} has finished",
+                    name(&order.task)
+                );
             }
         }
     }
 
     fn check(&mut self) {
         let mut live: BTreeMap<String, u32> = BTreeMap::new();
-        for real in self.real.values() {
-            for row in real.runs.values() {
+        for worker in self.workers.values() {
+            for row in worker.runs.values() {
                 *live.entry(name(&row.task)).or_default() += 1;
             }
             let used: u64 =
-                real.runs.values().map(|row| self.step_of(&row.task).need.cpu_milli).sum();
-            assert!(used <= 16_000, "a worker over its capacity: {used}");
+                worker.runs.values().map(|row| self.step_of(&row.task).need.cpu_milli).sum();
+            assert!(used <= 16_000, "worker over its capacity: {used}");
         }
         for (task, count) in &live {
             assert_eq!(*count, 1, "two runs of {task} at once");
             assert!(!self.done.contains(task), "{task} runs again after it was done and recorded");
         }
         for spec in &self.jobs {
-            let is_shown =
-                self.rig.fleet.state_of(&spec.id).is_some_and(|(phase, _)| {
+            let is_completed =
+                self.harness.fleet.state_of(&spec.id).is_some_and(|(phase, _)| {
                     phase == agatesill_policy::fleet::JobPhase::Completed
                 });
-            if is_shown {
+            if is_completed {
                 let all_finished = all_tasks(spec).all(|task| self.finished.contains(&task));
-                assert!(all_finished, "{} is shown as completed too early", spec.id);
+                assert!(all_finished, "{} is reported as completed too early", spec.id);
                 self.done.extend(all_tasks(spec));
             }
         }
@@ -386,7 +398,7 @@
     })
 }
 
-impl Real {
+impl SimulatedWorker {
     fn end(&mut self, task: &TaskKey, run: u32, cause: EndCause) {
         self.number += 1;
         self.runs.remove(&(name(task), run));
@@ -396,7 +408,7 @@
         self.ended.push(EndRow { number: self.number, task: task.clone(), run, cause, saved });
     }
 
-    fn obey(&mut self, order: &Order, now_us: u64) -> OrderOutcome {
+    fn execute(&mut self, order: &Order, now_us: u64) -> OrderOutcome {
         let task = name(&order.task);
         let barred = self.barred.get(&task).copied().unwrap_or(0);
         match &order.kind {
@@ -429,47 +441,51 @@
     }
 }
 
-fn play(seed: u64) {
-    let mut world = World::new(seed);
-    for _ in 0..EVENTS {
-        world.step();
+fn run_seed(seed: u64) {
+    let mut simulation = Simulation::new(seed);
+    for _ in 0..EVENTS_PER_SEED {
+        simulation.step();
     }
-    // All trouble ends: every job reaches an end.
-    for real in world.real.values_mut() {
-        real.is_cut = false;
+    // Without further faults, every job must end.
+    for worker in simulation.workers.values_mut() {
+        worker.is_partitioned = false;
     }
-    for entry in world.real.values().map(|real| real.entry.clone()).collect::<Vec<_>>() {
-        world.rig.list(entry);
+    for entry in simulation.workers.values().map(|worker| worker.entry.clone()).collect::<Vec<_>>()
+    {
+        simulation.harness.list(entry);
     }
     for _ in 0..800 {
-        world.rig.advance_ms(100);
-        world.end_one();
-        world.end_one();
-        world.note_finished();
-        world.lapse();
-        world.give_up_waiting();
-        world.poll_all();
-        world.rig.fleet.expire_workers(world.rig.now_us, world.rig.now_us);
-        world.act();
-        world.check();
+        simulation.harness.advance_ms(100);
+        simulation.end_first_run();
+        simulation.end_first_run();
+        simulation.record_finished();
+        simulation.expire_leases();
+        simulation.end_incomplete_gangs();
+        simulation.poll_all();
+        simulation
+            .harness
+            .fleet
+            .expire_workers(simulation.harness.now_us, simulation.harness.now_us);
+        simulation.execute_orders();
+        simulation.check();
     }
-    for spec in &world.jobs {
-        let state = world.rig.fleet.state_of(&spec.id);
-        let is_over =
+    for spec in &simulation.jobs {
+        let state = simulation.harness.fleet.state_of(&spec.id);
+        let has_ended =
             state.is_some_and(|(phase, _)| phase != agatesill_policy::fleet::JobPhase::Active);
-        assert!(is_over, "{} is left at {state:?}", spec.id);
+        assert!(has_ended, "{} has not ended: {state:?}", spec.id);
     }
 }
 
 #[test]
-fn what_must_always_hold_holds_under_random_events() {
+fn invariants_hold_under_random_events() {
     if let Some(seed) = std::env::var("FLEET_SEED").ok().and_then(|text| text.parse().ok()) {
-        play(seed);
+        run_seed(seed);
         return;
     }
     let seeds = std::env::var("FLEET_SEEDS").ok().and_then(|text| text.parse().ok());
-    for seed in 0..seeds.unwrap_or(SEEDS) {
+    for seed in 0..seeds.unwrap_or(DEFAULT_SEEDS) {
         println!("seed {seed}");
-        play(seed);
+        run_seed(seed);
     }
 }
--- a/crates/agatesill_policy/tests/fleet_starvation.rs
+++ b/crates/agatesill_policy/tests/fleet_starvation.rs
@@ -1,15 +1,15 @@
-//! Lasting and urgent tasks that wait without end on a fleet of 1,100 workers that is nearly full.
+//! Starvation of long-running and urgent tasks on a fleet of 1,100 workers that is nearly full.
 
 mod fleet_support;
 
 use agatesill_policy::fleet::{JobSpec, Step};
-use fleet_support::simulation::{Conditions, S, World};
+use fleet_support::simulation::{Conditions, S, Simulation};
 use fleet_support::{job, step};
 
 const WORKERS: usize = 1_100;
 
-/// Part of the processors that lasting tasks reserve.
-const RESERVED: f64 = 0.9;
+/// Fraction of the CPU that long-running tasks reserve.
+const RESERVED_SHARE: f64 = 0.9;
 
 fn lasting(number: usize) -> JobSpec {
     let mut watch = step(24);
@@ -47,61 +47,72 @@
     spec
 }
 
-/// Plays `seconds` of a nearly full fleet: urgent and batch jobs all the while, workers that leave at
-/// second 29, a store that is away from 31 to 35.5.
-fn play(conditions: Conditions, seconds: u64) -> World {
-    let mut world = World::new(WORKERS, conditions);
+/// Simulates `seconds` of a nearly full fleet. Urgent and batch jobs are submitted all the time,
+/// and some workers leave at second 29. In the tests the store is unavailable from second 31 to
+/// 35.5.
+fn simulate(conditions: Conditions, seconds: u64) -> Simulation {
+    let mut simulation = Simulation::new(WORKERS, conditions);
     let capacity_milli: f64 = WORKERS as f64 * 20_000.0;
     let mut reserved_milli = 0.0;
     let mut number = 0;
-    while reserved_milli < capacity_milli * RESERVED {
+    while reserved_milli < capacity_milli * RESERVED_SHARE {
         let spec = lasting(number);
         reserved_milli += 24.0 * spec.steps[0].need.cpu_milli as f64;
-        world.submit(spec);
+        simulation.submit(spec);
         number += 1;
     }
-    let begin_us = world.now_us;
-    world.pass_until(begin_us + 8 * S);
+    let begin_us = simulation.now_us;
+    simulation.advance_until(begin_us + 8 * S);
     let mut urgents = 0;
     for tick in 0..seconds * 20 {
         let at_us = begin_us + 8 * S + tick * S / 20;
         urgents += 1;
-        world.submit(urgent(urgents));
-        world.submit(filling(urgents * 2));
-        world.submit(filling(urgents * 2 + 1));
+        simulation.submit(urgent(urgents));
+        simulation.submit(filling(urgents * 2));
+        simulation.submit(filling(urgents * 2 + 1));
         if at_us == 29 * S {
-            world.leave(0, 40, 4 * S);
+            simulation.announce_leaving(0, 40, 4 * S);
         }
-        world.pass_until(at_us + S / 20);
+        simulation.advance_until(at_us + S / 20);
     }
-    world
+    simulation
 }
 
-const CALM: Conditions = Conditions {
+const NO_FAULTS: Conditions = Conditions {
     turn_ms: 25,
     commit_ms: 60,
-    store_away_ms: (0, 0),
+    store_outage_ms: (0, 0),
     planner_stops_ms: u64::MAX / 4_000,
 };
 
-/// Guards against lasting tasks of workers that left, which a successor takes for running.
+/// Guards against long-running tasks that a successor assumes to run on workers that have left.
 #[test]
-fn lasting_tasks_return_after_a_takeover_amid_an_outage() {
+fn long_running_tasks_restart_after_a_takeover_during_an_outage() {
     let conditions =
-        Conditions { store_away_ms: (31_000, 35_500), planner_stops_ms: 32_100, ..CALM };
-    let world = play(conditions, 35);
-    assert!(world.missing.is_empty(), "{} missing: {:?}", world.missing.len(), &world.missing[0]);
+        Conditions { store_outage_ms: (31_000, 35_500), planner_stops_ms: 32_100, ..NO_FAULTS };
+    let simulation = simulate(conditions, 35);
+    assert!(
+        simulation.missing.is_empty(),
+        "{} missing: {:?}",
+        simulation.missing.len(),
+        &simulation.missing[0]
+    );
 }
 
-/// Guards against the same with a planner whose turns take four times as long.
+/// The same with a planner whose turns take four times as long.
 #[test]
-fn lasting_tasks_return_after_a_takeover_when_planning_is_dear() {
+fn long_running_tasks_restart_after_a_takeover_with_slow_planning() {
     let conditions = Conditions {
         turn_ms: 100,
         commit_ms: 200,
-        store_away_ms: (31_000, 35_500),
+        store_outage_ms: (31_000, 35_500),
         planner_stops_ms: 32_100,
     };
-    let world = play(conditions, 35);
-    assert!(world.missing.is_empty(), "{} missing: {:?}", world.missing.len(), &world.missing[0]);
+    let simulation = simulate(conditions, 35);
+    assert!(
+        simulation.missing.is_empty(),
+        "{} missing: {:?}",
+        simulation.missing.len(),
+        &simulation.missing[0]
+    );
 }
--- a/crates/agatesill_policy/tests/fleet_support/mod.rs
+++ b/crates/agatesill_policy/tests/fleet_support/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of small workers that obey orders, for tests of the ledger without network or clock.
+//! Test harness: a fleet with simulated workers, without network or clock.
 
-#![allow(dead_code)] // Each test file uses its own part.
-#![allow(clippy::unwrap_used)] // A broken assumption of a test ends the test.
+#![allow(dead_code)] // Each test file uses a part of the harness.
+#![allow(clippy::unwrap_used)] // Tests panic on a failed assumption.
 
 pub mod simulation;
 
@@ -13,15 +13,15 @@
     OrderOutcome, Poll, QueueTerms, RunRow, Step, TaskKey, WorkerEntry, WorkerIndex,
 };
 
-/// A millisecond.
+/// Microseconds in a millisecond.
 pub const MS: u64 = 1_000;
 
-/// The bounds of the smaller of today's two deployments.
+/// Bounds of the smaller of the two deployments.
 pub fn bounds() -> FleetBounds {
     FleetBounds { lease_max_ms: 6_000, harm_ms: 4_000, drain_ms: 2_000 }
 }
 
-/// A worker of 16 cores and 64 GB.
+/// A worker with 16 cores and 64 GB of memory.
 pub fn entry(id: &str, rack: &str) -> WorkerEntry {
     WorkerEntry {
         id: id.to_owned(),
@@ -38,7 +38,7 @@
     }
 }
 
-/// A step of `count` tasks of one core that run for a second.
+/// A step of `count` tasks that each use one core for a second.
 pub fn step(count: u32) -> Step {
     Step {
         count,
@@ -70,36 +70,36 @@
     }
 }
 
-/// One worker's side.
+/// State of one simulated worker.
 #[derive(Default)]
-pub struct Far {
-    /// Runs present, with what they resumed from.
+pub struct FakeWorker {
+    /// Runs present, with the checkpoint from which each resumed.
     pub running: BTreeMap<(String, u32), RunRow>,
-    /// Ends not acknowledged.
+    /// Ends that are not acknowledged yet.
     pub ended: Vec<EndRow>,
-    /// Number of the newest end.
+    /// Sequence number of the newest end.
     pub number: u64,
 }
 
-/// A fleet and its workers; the store answers at once.
+/// A fleet with simulated workers and a store that answers immediately.
 pub struct Harness {
-    /// The ledger.
+    /// The fleet under test.
     pub fleet: Fleet,
-    /// Workers by index.
-    pub workers: BTreeMap<WorkerIndex, Far>,
-    /// Now.
+    /// Simulated workers by index.
+    pub workers: BTreeMap<WorkerIndex, FakeWorker>,
+    /// Current time.
     pub now_us: u64,
-    /// Records as stored.
+    /// Stored records by job, with their revisions.
     pub stored: BTreeMap<String, (String, u64)>,
-    /// Every order given so far.
+    /// All orders issued so far.
     pub orders: Vec<Order>,
     revision: u64,
 }
 
 impl Harness {
-    /// A fleet with these workers, all polled once.
+    /// Creates a fleet with these workers, each polled once.
     pub fn new(entries: Vec<WorkerEntry>) -> Self {
-        let mut rig = Self {
+        let mut harness = Self {
             fleet: Fleet::new(bounds()),
             workers: BTreeMap::new(),
             now_us: 10_000 * MS,
@@ -108,10 +108,10 @@
             revision: 1,
         };
         for entry in entries {
-            rig.list(entry);
+            harness.list(entry);
         }
-        rig.poll_all();
-        rig
+        harness.poll_all();
+        harness
     }
 
     /// Registers a worker.
@@ -121,12 +121,12 @@
         index
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub fn advance_ms(&mut self, ms: u64) {
         self.now_us += ms * MS;
     }
 
-    /// Plans and writes what changed; the orders that may go out are returned, not yet obeyed.
+    /// Plans and writes the changed records. Returns the orders that may be sent, not yet executed.
     pub fn plan(&mut self) -> Vec<Order> {
         self.fleet.plan(self.now_us, self.now_us / MS);
         self.commit();
@@ -135,7 +135,7 @@
         orders
     }
 
-    /// Writes all records that wait.
+    /// Writes all waiting records.
     pub fn commit(&mut self) {
         let later = self.now_us + 10_000 * MS;
         loop {
@@ -154,15 +154,15 @@
         self.fleet.committed(write, self.revision, self.now_us);
     }
 
-    /// Has a worker obey an order and tells the ledger.
+    /// Executes an order at its worker and reports the answer to the fleet.
     pub fn execute(&mut self, order: &Order) {
-        self.carry_out(order);
+        self.execute_unanswered(order);
         self.fleet.order_answered(order, OrderOutcome::Done, self.now_us);
     }
 
-    /// Has a worker obey an order whose answer is lost.
-    pub fn carry_out(&mut self, order: &Order) {
-        let far = self.workers.entry(order.worker).or_default();
+    /// Executes an order at its worker without reporting an answer.
+    pub fn execute_unanswered(&mut self, order: &Order) {
+        let fake_worker = self.workers.entry(order.worker).or_default();
         let key = (name(&order.task), order.run);
         match &order.kind {
             OrderKind::Start { saved, .. } => {
@@ -173,10 +173,10 @@
                     percent: 1,
                     figure: 0,
                 };
-                far.running.entry(key).or_insert(row);
+                fake_worker.running.entry(key).or_insert(row);
             }
             OrderKind::Stop => {
-                if far.running.contains_key(&key) {
+                if fake_worker.running.contains_key(&key) {
                     self.end(order.worker, &order.task, order.run, EndCause::Stopped);
                 }
             }
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Plans and obeys until nothing more is ordered.
+    /// Plans and executes orders until no more are issued.
     pub fn settle(&mut self) {
         loop {
             let orders = self.plan();
@@ -197,11 +197,17 @@
 
     /// Ends a run at its worker.
     pub fn end(&mut self, worker: WorkerIndex, task: &TaskKey, run: u32, cause: EndCause) {
-        let far = self.workers.entry(worker).or_default();
-        let row = far.running.remove(&(name(task), run));
-        far.number += 1;
+        let fake_worker = self.workers.entry(worker).or_default();
+        let row = fake_worker.running.remove(&(name(task), run));
+        fake_worker.number += 1;
         let saved = row.map(|row| row.saved).unwrap_or_default();
-        far.ended.push(EndRow { number: far.number, task: task.clone(), run, cause, saved });
+        fake_worker.ended.push(EndRow {
+            number: fake_worker.number,
+            task: task.clone(),
+            run,
+            cause,
+            saved,
+        });
     }
 
     /// Polls one worker.
@@ -209,18 +215,18 @@
         self.poll_sent(worker, self.now_us);
     }
 
-    /// Polls one worker with a call that was sent earlier.
+    /// Polls one worker with a call that was sent at `sent_us`.
     pub fn poll_sent(&mut self, worker: WorkerIndex, sent_us: u64) {
         self.advance_ms(1);
         let acked = self.fleet.acked_end(worker);
-        let far = self.workers.entry(worker).or_default();
-        far.ended.retain(|end| end.number > acked);
+        let fake_worker = self.workers.entry(worker).or_default();
+        fake_worker.ended.retain(|end| end.number > acked);
         let poll = Poll {
             sent_us,
             lease_ms: 5_000,
             clock_ms: self.now_us / MS,
-            running: far.running.values().cloned().collect(),
-            ended: far.ended.clone(),
+            running: fake_worker.running.values().cloned().collect(),
+            ended: fake_worker.ended.clone(),
         };
         self.fleet.polled(worker, &poll, self.now_us);
     }
@@ -231,12 +237,13 @@
         workers.into_iter().for_each(|worker| self.poll(worker));
     }
 
-    /// Where runs of a job's tasks are present, by worker.
+    /// Returns the runs of a job that are present, with their workers.
     pub fn present(&self, job: &str) -> Vec<(WorkerIndex, TaskKey, u32)> {
         self.workers
             .iter()
-            .flat_map(|(worker, far)| {
-                far.running
+            .flat_map(|(worker, fake_worker)| {
+                fake_worker
+                    .running
                     .values()
                     .filter(|row| row.task.job == job)
                     .map(|row| (*worker, row.task.clone(), row.run))
@@ -244,7 +251,7 @@
             .collect()
     }
 
-    /// A ledger built from the stored records by a successor, with the same workers registered.
+    /// Builds the ledger of a successor from the stored records, with these workers registered.
     pub fn successor(&self, jobs: &[JobSpec], entries: Vec<WorkerEntry>) -> Fleet {
         let mut fleet = Fleet::new(bounds());
         for spec in jobs {
@@ -262,7 +269,7 @@
     }
 }
 
-/// A task's name.
+/// Formats the key of a task.
 pub fn name(task: &TaskKey) -> String {
     format!("{}.{}.{}.{}", task.job, task.occurrence, task.step, task.index)
 }
--- a/crates/agatesill_policy/tests/fleet_support/simulation.rs
+++ b/crates/agatesill_policy/tests/fleet_support/simulation.rs
@@ -1,5 +1,6 @@
-//! A fleet under virtual time: a planner that takes turns, a store that answers late or not at all, workers
-//! that run, end and leave, and a judge of lasting tasks that are missing although there is room for them.
+//! Simulation of a fleet in virtual time: a planner that runs in turns, a store that answers late
+//! or not at all, workers that run tasks and leave, and a verifier that reports long-running tasks
+//! that are missing although there is capacity for them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -12,35 +13,35 @@
 
 use super::{MS, entry};
 
-/// A second.
+/// Microseconds in a second.
 pub const S: u64 = 1_000 * MS;
 
-/// Entries of a transaction.
-const MOST_ENTRIES: usize = 31;
+/// Maximum number of entries in a transaction.
+const MAX_ENTRIES: usize = 31;
 
-/// Transactions under way at once.
-const MOST_COMMITS: usize = 4;
+/// Maximum number of transactions in flight.
+const MAX_COMMITS: usize = 4;
 
-/// Time until a call to the store or a worker is answered.
+/// Round-trip time of a call to a worker.
 const ROUND_TRIP_US: u64 = 5 * MS;
 
-/// Time for which an idle poll waits.
-const POLL_US: u64 = 500 * MS;
+/// Interval between polls of a worker without updates.
+const POLL_INTERVAL_US: u64 = 500 * MS;
 
-/// Time that a stop takes.
-const STOP_US: u64 = 600 * MS;
+/// Time from the stop of a run until its end.
+const STOP_DURATION_US: u64 = 600 * MS;
 
-/// Time from the start of a lasting task until it is at work.
+/// Time from the start of a long-running task until it is ready.
 const WARM_UP_US: u64 = 1_000 * MS;
 
-/// Time without a run from which a lasting task counts as missing.
-const MISSING_US: u64 = 6 * S;
+/// Time without a run after which a long-running task counts as missing.
+const MISSING_AFTER_US: u64 = 6 * S;
 
-/// Time for which there must be room for a missing task twice over.
-const ROOM_US: u64 = 3 * S;
+/// Time for which a missing task must have had capacity on two workers.
+const CAPACITY_DURATION_US: u64 = 3 * S;
 
-/// Time that must have been calm before.
-const CALM_US: u64 = 4 * S;
+/// Time after a store outage for which missing tasks are not reported.
+const RECOVERY_US: u64 = 4 * S;
 
 #[derive(Clone, Debug)]
 struct Run {
@@ -53,9 +54,9 @@
     is_stopped: bool,
 }
 
-/// A worker's own side.
+/// State of one simulated worker.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct SimulatedWorker {
     entry: WorkerEntry,
     used: Resources,
     runs: Vec<Run>,
@@ -67,56 +68,57 @@
 
 #[derive(Debug)]
 enum Event {
-    Arrives(Order),
+    OrderArrives(Order),
     Answered(Order, OrderOutcome),
     Polled(WorkerIndex, Box<Poll>),
     Stored(Vec<JobWrite>),
     Failed(Vec<JobWrite>),
 }
 
-/// What the planner's turns cost and when the store is away.
+/// Timing of the planner, and faults.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
-    /// Time of one turn of the planner.
+    /// Duration of one turn of the planner.
     pub turn_ms: u64,
     /// Time until a transaction is answered.
     pub commit_ms: u64,
-    /// When the store goes away, and when it is back.
-    pub store_away_ms: (u64, u64),
-    /// When the planner stops; a successor follows 300 ms after the store is back.
+    /// Start and end of the store outage.
+    pub store_outage_ms: (u64, u64),
+    /// When the planner stops. A successor starts 300 ms after the store is available again.
     pub planner_stops_ms: u64,
 }
 
-/// The whole scheduler and its surroundings.
-pub struct World {
-    /// The ledger.
+/// The scheduler and its environment.
+pub struct Simulation {
+    /// The fleet under test.
     pub fleet: Fleet,
-    /// Now.
+    /// Current time.
     pub now_us: u64,
-    /// Time from a step's turn to the start of each of its tasks, by the job's prefix.
+    /// Time from the submission of a job to the first start of each task of its first step, by the
+    /// job's prefix.
     pub waits_ms: BTreeMap<String, Vec<u64>>,
-    /// Lasting tasks that were missing although there was room.
+    /// Long-running tasks that were missing although there was capacity for them.
     pub missing: Vec<String>,
     conditions: Conditions,
-    machines: Vec<Machine>,
+    workers: Vec<SimulatedWorker>,
     index_of: HashMap<WorkerIndex, usize>,
     specs: HashMap<String, JobSpec>,
-    handed_in_us: HashMap<String, u64>,
+    submitted_us: HashMap<String, u64>,
     records: HashMap<String, (ProgressRecord, u64)>,
     events: BinaryHeap<Reverse<(u64, u64)>>,
     payloads: HashMap<u64, Event>,
     sequence: u64,
     revision: u64,
     commits_under_way: usize,
-    is_planning: bool,
-    lasting: BTreeMap<(String, u32), Presence>,
+    has_planner: bool,
+    lasting: BTreeMap<(String, u32), LongRunningTask>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Presence {
+struct LongRunningTask {
     cpu: Resources,
-    gone_us: Option<u64>,
-    room_us: Option<u64>,
+    missing_since_us: Option<u64>,
+    capacity_since_us: Option<u64>,
     is_reported: bool,
 }
 
@@ -124,33 +126,33 @@
     FleetBounds { lease_max_ms: 10_000, harm_ms: 5_000, drain_ms: 4_000 }
 }
 
-impl World {
-    /// A fleet of `count` workers of 16 to 24 cores.
+impl Simulation {
+    /// Creates a fleet of `count` workers with 16 to 24 cores.
     pub fn new(count: usize, conditions: Conditions) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             fleet: Fleet::new(bounds()),
             now_us: 10 * S,
             waits_ms: BTreeMap::new(),
             missing: Vec::new(),
             conditions,
-            machines: Vec::new(),
+            workers: Vec::new(),
             index_of: HashMap::new(),
             specs: HashMap::new(),
-            handed_in_us: HashMap::new(),
+            submitted_us: HashMap::new(),
             records: HashMap::new(),
             events: BinaryHeap::new(),
             payloads: HashMap::new(),
             sequence: 0,
             revision: 1,
             commits_under_way: 0,
-            is_planning: true,
+            has_planner: true,
             lasting: BTreeMap::new(),
         };
-        for at in 0..count {
-            let mut worker = entry(&format!("w{at}"), &format!("r{}", at / 20));
-            worker.address = format!("10.{}.{}.1:80", at / 250, at % 250);
-            worker.capacity.cpu_milli = 16_000 + 1_600 * (at as u64 * 7 % 6);
-            world.machines.push(Machine {
+        for position in 0..count {
+            let mut worker = entry(&format!("w{position}"), &format!("r{}", position / 20));
+            worker.address = format!("10.{}.{}.1:80", position / 250, position % 250);
+            worker.capacity.cpu_milli = 16_000 + 1_600 * (position as u64 * 7 % 6);
+            simulation.workers.push(SimulatedWorker {
                 entry: worker,
                 used: Resources::default(),
                 runs: Vec::new(),
@@ -160,86 +162,89 @@
                 exits_us: u64::MAX,
             });
         }
-        world.list_all();
-        world
+        simulation.register_all();
+        simulation
     }
 
-    fn list_all(&mut self) {
+    fn register_all(&mut self) {
         self.index_of.clear();
-        for at in 0..self.machines.len() {
-            let entry = self.machines[at].entry.clone();
+        for position in 0..self.workers.len() {
+            let entry = self.workers[position].entry.clone();
             let index = self.fleet.worker_listed(entry, self.now_us);
-            self.index_of.insert(index, at);
-            self.machines[at].polled_us = 0;
+            self.index_of.insert(index, position);
+            self.workers[position].polled_us = 0;
         }
     }
 
-    /// Hands in a job.
+    /// Submits a job.
     pub fn submit(&mut self, mut spec: JobSpec) {
         spec.accepted_at_ms = self.now_us / MS;
         for (index, step) in spec.steps.iter().enumerate().filter(|(_, step)| step.is_lasting) {
             let first: u32 = spec.steps[..index].iter().map(|step| step.count).sum();
             for task in first..first + step.count {
-                let presence =
-                    Presence { cpu: step.need, gone_us: Some(self.now_us), ..Presence::default() };
-                self.lasting.insert((spec.id.clone(), task), presence);
+                let tracked_task = LongRunningTask {
+                    cpu: step.need,
+                    missing_since_us: Some(self.now_us),
+                    ..LongRunningTask::default()
+                };
+                self.lasting.insert((spec.id.clone(), task), tracked_task);
             }
         }
-        self.handed_in_us.insert(spec.id.clone(), self.now_us);
+        self.submitted_us.insert(spec.id.clone(), self.now_us);
         self.specs.insert(spec.id.clone(), spec.clone());
-        if self.is_planning {
+        if self.has_planner {
             self.fleet.accept(spec, self.now_us);
         }
     }
 
-    /// Lets some workers announce that they leave, and exit after `notice_us`.
-    pub fn leave(&mut self, from: usize, count: usize, notice_us: u64) {
-        for at in from..from + count {
-            let machine = &mut self.machines[at];
-            machine.entry.is_leaving = true;
-            machine.entry.leaves_in_ms = notice_us / MS;
-            machine.exits_us = self.now_us + notice_us;
-            let entry = machine.entry.clone();
-            if self.is_planning {
+    /// Makes workers announce that they are leaving; they exit after `notice_us`.
+    pub fn announce_leaving(&mut self, from: usize, count: usize, notice_us: u64) {
+        for position in from..from + count {
+            let worker = &mut self.workers[position];
+            worker.entry.is_leaving = true;
+            worker.entry.leaves_in_ms = notice_us / MS;
+            worker.exits_us = self.now_us + notice_us;
+            let entry = worker.entry.clone();
+            if self.has_planner {
                 self.fleet.worker_listed(entry, self.now_us);
             }
         }
     }
 
-    /// Lets time pass until `until_us`, turn by turn.
-    pub fn pass_until(&mut self, until_us: u64) {
+    /// Advances the time to `until_us`, one turn of the planner after another.
+    pub fn advance_until(&mut self, until_us: u64) {
         while self.now_us < until_us {
             self.now_us += self.conditions.turn_ms * MS;
-            self.run_machines();
-            self.take_events();
-            self.change_planner();
-            if self.is_planning {
-                self.turn();
+            self.end_due_runs();
+            self.process_events();
+            self.update_planner();
+            if self.has_planner {
+                self.run_planner();
             }
-            self.judge();
+            self.verify();
         }
     }
 
-    fn is_store_away(&self) -> bool {
-        let (from_ms, to_ms) = self.conditions.store_away_ms;
+    fn is_store_unavailable(&self) -> bool {
+        let (from_ms, to_ms) = self.conditions.store_outage_ms;
         self.now_us >= from_ms * MS && self.now_us < to_ms * MS
     }
 
-    fn change_planner(&mut self) {
+    fn update_planner(&mut self) {
         let stops_us = self.conditions.planner_stops_ms * MS;
-        let starts_us = stops_us.max(self.conditions.store_away_ms.1 * MS) + 300 * MS;
-        if self.is_planning && (stops_us..starts_us).contains(&self.now_us) {
-            self.is_planning = false;
+        let starts_us = stops_us.max(self.conditions.store_outage_ms.1 * MS) + 300 * MS;
+        if self.has_planner && (stops_us..starts_us).contains(&self.now_us) {
+            self.has_planner = false;
             self.events.clear();
             self.payloads.clear();
             self.commits_under_way = 0;
-        } else if !self.is_planning && self.now_us >= starts_us {
-            self.succeed();
+        } else if !self.has_planner && self.now_us >= starts_us {
+            self.start_successor();
         }
     }
 
-    /// A planner starts that knows what is stored.
-    fn succeed(&mut self) {
+    /// Starts a successor that knows only the stored records.
+    fn start_successor(&mut self) {
         let mut fleet = Fleet::new(bounds());
         fleet.set_wall_clock(self.now_us, self.now_us / MS);
         let mut specs: Vec<&JobSpec> = self.specs.values().collect();
@@ -249,31 +254,31 @@
         }
         fleet.finish_restore(0, self.now_us);
         self.fleet = fleet;
-        self.is_planning = true;
-        self.list_all();
+        self.has_planner = true;
+        self.register_all();
     }
 
-    fn turn(&mut self) {
+    fn run_planner(&mut self) {
         self.fleet.expire_workers(self.now_us, self.now_us);
-        self.poll_machines();
+        self.poll_workers();
         self.fleet.plan(self.now_us, self.now_us / MS);
-        while self.commits_under_way < MOST_COMMITS {
-            let writes = self.fleet.take_writes(MOST_ENTRIES, self.now_us);
+        while self.commits_under_way < MAX_COMMITS {
+            let writes = self.fleet.take_writes(MAX_ENTRIES, self.now_us);
             if writes.is_empty() {
                 break;
             }
             self.commits_under_way += 1;
-            let is_away = self.is_store_away();
-            let after_us = if is_away { 100 * MS } else { self.conditions.commit_ms * MS };
+            let is_unavailable = self.is_store_unavailable();
+            let after_us = if is_unavailable { 100 * MS } else { self.conditions.commit_ms * MS };
             self.schedule(
                 after_us,
-                if is_away { Event::Failed(writes) } else { Event::Stored(writes) },
+                if is_unavailable { Event::Failed(writes) } else { Event::Stored(writes) },
             );
         }
         drop(self.fleet.take_acked());
         drop(self.fleet.take_terminated());
         for order in self.fleet.take_orders() {
-            self.schedule(ROUND_TRIP_US / 2, Event::Arrives(order));
+            self.schedule(ROUND_TRIP_US / 2, Event::OrderArrives(order));
         }
         self.fleet.retire_ended();
     }
@@ -284,7 +289,7 @@
         self.payloads.insert(self.sequence, event);
     }
 
-    fn take_events(&mut self) {
+    fn process_events(&mut self) {
         while let Some(Reverse((at_us, number))) = self.events.peek().copied() {
             if at_us > self.now_us {
                 return;
@@ -292,7 +297,7 @@
             self.events.pop();
             let Some(event) = self.payloads.remove(&number) else { continue };
             match event {
-                Event::Arrives(order) => self.arrive(order, at_us),
+                Event::OrderArrives(order) => self.deliver_order(order, at_us),
                 Event::Answered(order, outcome) => {
                     self.fleet.order_answered(&order, outcome, self.now_us);
                 }
@@ -315,46 +320,46 @@
         }
     }
 
-    fn arrive(&mut self, order: Order, at_us: u64) {
-        let Some(at) = self.index_of.get(&order.worker).copied() else { return };
-        let outcome = if self.machines[at].exits_us <= at_us {
+    fn deliver_order(&mut self, order: Order, at_us: u64) {
+        let Some(position) = self.index_of.get(&order.worker).copied() else { return };
+        let outcome = if self.workers[position].exits_us <= at_us {
             OrderOutcome::Unanswered
         } else {
-            self.carry_out(at, &order, at_us)
+            self.execute_order(position, &order, at_us)
         };
         self.schedule(ROUND_TRIP_US / 2, Event::Answered(order, outcome));
     }
 
-    fn carry_out(&mut self, at: usize, order: &Order, at_us: u64) -> OrderOutcome {
+    fn execute_order(&mut self, position: usize, order: &Order, at_us: u64) -> OrderOutcome {
         let spec = &self.specs[&order.task.job];
         let step = &spec.steps[order.task.step as usize];
-        let machine = &mut self.machines[at];
+        let worker = &mut self.workers[position];
         match &order.kind {
             OrderKind::Start { .. } => {
-                let used = machine.used.plus(&step.allocation());
-                if !machine.entry.capacity.holds(&used) {
+                let used = worker.used.plus(&step.allocation());
+                if !worker.entry.capacity.holds(&used) {
                     return OrderOutcome::NoRoom;
                 }
-                machine.used = used;
-                let lasts_us =
+                worker.used = used;
+                let duration_us =
                     if step.is_lasting { u64::MAX / 2 } else { run_us(step, &order.task) };
-                machine.runs.push(Run {
+                worker.runs.push(Run {
                     task: order.task.clone(),
                     run: order.run,
                     cpu: step.allocation(),
                     is_lasting: step.is_lasting,
                     began_us: at_us,
-                    ends_us: at_us + lasts_us,
+                    ends_us: at_us + duration_us,
                     is_stopped: false,
                 });
-                self.note_start(order, at_us);
+                self.record_start(order, at_us);
             }
             OrderKind::Stop => {
                 let run =
-                    machine.runs.iter_mut().find(|r| r.task == order.task && r.run == order.run);
+                    worker.runs.iter_mut().find(|r| r.task == order.task && r.run == order.run);
                 if let Some(run) = run.filter(|run| !run.is_stopped) {
                     run.is_stopped = true;
-                    run.ends_us = at_us + STOP_US;
+                    run.ends_us = at_us + STOP_DURATION_US;
                 }
             }
             OrderKind::Pace { .. } => {}
@@ -362,49 +367,51 @@
         OrderOutcome::Done
     }
 
-    fn note_start(&mut self, order: &Order, at_us: u64) {
+    fn record_start(&mut self, order: &Order, at_us: u64) {
         let id = &order.task.job;
         let first: u32 =
             self.specs[id].steps[..order.task.step as usize].iter().map(|step| step.count).sum();
-        if let Some(presence) = self.lasting.get_mut(&(id.clone(), first + order.task.index)) {
-            presence.gone_us = None;
-            presence.room_us = None;
+        if let Some(tracked_task) = self.lasting.get_mut(&(id.clone(), first + order.task.index)) {
+            tracked_task.missing_since_us = None;
+            tracked_task.capacity_since_us = None;
             return;
         }
         if order.run == 1 && order.task.step == 0 {
-            let waited_ms = (at_us - self.handed_in_us[id]) / MS;
+            let waited_ms = (at_us - self.submitted_us[id]) / MS;
             let prefix = id.split('-').next().unwrap_or(id).to_owned();
             self.waits_ms.entry(prefix).or_default().push(waited_ms);
         }
     }
 
-    /// Ends the runs whose time has come.
-    fn run_machines(&mut self) {
+    /// Ends the runs that are due, and those of workers that have exited.
+    fn end_due_runs(&mut self) {
         let now_us = self.now_us;
-        for machine in &mut self.machines {
-            if machine.exits_us <= now_us {
-                for run in machine.runs.drain(..).filter(|run| run.is_lasting) {
-                    if let Some(presence) = self.lasting.get_mut(&(run.task.job, run.task.index)) {
-                        presence.gone_us = Some(now_us);
+        for worker in &mut self.workers {
+            if worker.exits_us <= now_us {
+                for run in worker.runs.drain(..).filter(|run| run.is_lasting) {
+                    if let Some(tracked_task) =
+                        self.lasting.get_mut(&(run.task.job, run.task.index))
+                    {
+                        tracked_task.missing_since_us = Some(now_us);
                     }
                 }
                 continue;
             }
-            let (over, left): (Vec<Run>, Vec<Run>) =
-                machine.runs.drain(..).partition(|run| run.ends_us <= now_us);
-            machine.runs = left;
-            for run in over {
-                machine.used = machine.used.minus(&run.cpu);
-                machine.number += 1;
+            let (ended_runs, remaining_runs): (Vec<Run>, Vec<Run>) =
+                worker.runs.drain(..).partition(|run| run.ends_us <= now_us);
+            worker.runs = remaining_runs;
+            for run in ended_runs {
+                worker.used = worker.used.minus(&run.cpu);
+                worker.number += 1;
                 let cause = if run.is_stopped { EndCause::Stopped } else { EndCause::Done };
                 if run.is_lasting {
                     let key = (run.task.job.clone(), run.task.index);
-                    if let Some(presence) = self.lasting.get_mut(&key) {
-                        presence.gone_us = Some(now_us);
+                    if let Some(tracked_task) = self.lasting.get_mut(&key) {
+                        tracked_task.missing_since_us = Some(now_us);
                     }
                 }
-                machine.ended.push(EndRow {
-                    number: machine.number,
+                worker.ended.push(EndRow {
+                    number: worker.number,
                     task: run.task,
                     run: run.run,
                     cause,
@@ -414,76 +421,82 @@
         }
     }
 
-    /// Polls the workers that have an end to tell or were not polled for long.
-    fn poll_machines(&mut self) {
+    /// Polls the workers that have a new end to report, or whose poll interval has elapsed.
+    fn poll_workers(&mut self) {
         let now_us = self.now_us;
         let mut due: Vec<(WorkerIndex, usize)> =
-            self.index_of.iter().map(|(index, at)| (*index, *at)).collect();
+            self.index_of.iter().map(|(index, position)| (*index, *position)).collect();
         due.sort_unstable();
-        for (index, at) in due {
+        for (index, position) in due {
             let acked = self.fleet.acked_end(index);
-            let machine = &mut self.machines[at];
-            machine.ended.retain(|end| end.number > acked);
-            let has_news = machine.ended.last().is_some_and(|end| end.number > machine.number - 1);
-            let waited_us = now_us - machine.polled_us;
-            if machine.polled_us > 0 && waited_us < POLL_US && !(has_news && waited_us >= 25 * MS) {
+            let worker = &mut self.workers[position];
+            worker.ended.retain(|end| end.number > acked);
+            let has_updates = worker.ended.last().is_some_and(|end| end.number > worker.number - 1);
+            let waited_us = now_us - worker.polled_us;
+            if worker.polled_us > 0
+                && waited_us < POLL_INTERVAL_US
+                && !(has_updates && waited_us >= 25 * MS)
+            {
                 continue;
             }
-            machine.polled_us = now_us;
-            if machine.exits_us <= now_us {
+            worker.polled_us = now_us;
+            if worker.exits_us <= now_us {
                 self.fleet.worker_silent(index, now_us);
                 continue;
             }
-            let running = machine.runs.iter().map(|run| row(run, now_us)).collect();
+            let running = worker.runs.iter().map(|run| row(run, now_us)).collect();
             let poll = Poll {
                 sent_us: now_us,
                 lease_ms: 5_000,
                 clock_ms: now_us / MS,
                 running,
-                ended: machine.ended.clone(),
+                ended: worker.ended.clone(),
             };
             self.schedule(ROUND_TRIP_US, Event::Polled(index, Box::new(poll)));
         }
     }
 
-    /// Notes the lasting tasks that are missing for long although there is room for them twice over.
-    fn judge(&mut self) {
-        let (from_ms, to_ms) = self.conditions.store_away_ms;
-        let is_calm = self.now_us < from_ms * MS || self.now_us > to_ms * MS + CALM_US;
+    /// Reports long-running tasks that are missing although two workers have had capacity for them.
+    fn verify(&mut self) {
+        let (from_ms, to_ms) = self.conditions.store_outage_ms;
+        let is_outside_outage =
+            self.now_us < from_ms * MS || self.now_us > to_ms * MS + RECOVERY_US;
         let free: Vec<Resources> = self
-            .machines
+            .workers
             .iter()
-            .filter(|machine| !machine.entry.is_leaving)
-            .map(|machine| machine.entry.capacity.minus(&machine.used))
+            .filter(|worker| !worker.entry.is_leaving)
+            .map(|worker| worker.entry.capacity.minus(&worker.used))
             .collect();
-        for (key, presence) in &mut self.lasting {
-            let Some(gone_us) = presence.gone_us else { continue };
-            let fits = free.iter().filter(|free| free.holds(&presence.cpu)).take(2).count();
-            if fits < 2 || !is_calm {
-                presence.room_us = None;
+        for (key, tracked_task) in &mut self.lasting {
+            let Some(missing_since_us) = tracked_task.missing_since_us else { continue };
+            let fits = free.iter().filter(|free| free.holds(&tracked_task.cpu)).take(2).count();
+            if fits < 2 || !is_outside_outage {
+                tracked_task.capacity_since_us = None;
                 continue;
             }
-            let since_us = *presence.room_us.get_or_insert(self.now_us);
-            let is_missing =
-                self.now_us - gone_us >= MISSING_US + ROOM_US && self.now_us - since_us >= ROOM_US;
-            if is_missing && !presence.is_reported {
-                presence.is_reported = true;
-                let what = format!(
+            let since_us = *tracked_task.capacity_since_us.get_or_insert(self.now_us);
+            let is_missing = self.now_us - missing_since_us
+                >= MISSING_AFTER_US + CAPACITY_DURATION_US
+                && self.now_us - since_us >= CAPACITY_DURATION_US;
+            if is_missing && !tracked_task.is_reported {
+                tracked_task.is_reported = true;
+                let message = format!(
                     "{} task {} missing at {} ms since {} ms",
                     key.0,
                     key.1,
                     self.now_us / MS,
-                    gone_us / MS
+                    missing_since_us / MS
                 );
-                self.missing.push(what);
+                self.missing.push(message);
             }
         }
     }
 
-    /// Longest time for which a lasting task is without a run now.
-    pub fn longest_absence_ms(&self) -> u64 {
-        let gone = self.lasting.values().filter_map(|presence| presence.gone_us);
-        gone.map(|gone_us| (self.now_us - gone_us) / MS).max().unwrap_or(0)
+    /// Longest time for which a long-running task has been without a run.
+    pub fn longest_missing_ms(&self) -> u64 {
+        let missing =
+            self.lasting.values().filter_map(|tracked_task| tracked_task.missing_since_us);
+        missing.map(|missing_since_us| (self.now_us - missing_since_us) / MS).max().unwrap_or(0)
     }
 }
 
