--- a/crates/agatesill_bench/src/batch/scheduler.rs
+++ b/crates/agatesill_bench/src/batch/scheduler.rs
@@ -181,7 +181,7 @@
     fn place(&mut self, cell: &Cell, truth: &Truth<'_>, plan: &mut Plan) {
         let mut free: BTreeMap<WorkerId, Resources> = cell
             .workers()
-            .filter(|worker| worker.is_open())
+            .filter(|worker| worker.is_schedulable())
             .map(|worker| (worker.spec.id, worker.free()))
             .collect();
         let mut misses = 0;
--- a/crates/agatesill_policy/src/batch/cell.rs
+++ b/crates/agatesill_policy/src/batch/cell.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether it takes new work.
-    pub fn is_open(&self) -> bool {
+    pub fn is_schedulable(&self) -> bool {
         self.state == WorkerState::Active && !self.quarantined
     }
 }
--- a/crates/agatesill_policy/src/batch/cell_transitions.rs
+++ b/crates/agatesill_policy/src/batch/cell_transitions.rs
@@ -69,7 +69,7 @@
             return Vec::new();
         }
         let Some(on) = self.workers.get_mut(&worker) else { return Vec::new() };
-        if !on.is_open() || !on.has_room(reserve) {
+        if !on.is_schedulable() || !on.has_room(reserve) {
             return Vec::new();
         }
         charge(on, task, reserve);
--- a/crates/agatesill_policy/src/batch/policy/workers.rs
+++ b/crates/agatesill_policy/src/batch/policy/workers.rs
@@ -81,7 +81,7 @@
         load.rack = rack;
         load.zone = zone;
         load.accelerated = worker.spec.capacity.accelerators > 0;
-        let is_open = worker.is_open()
+        let is_open = worker.is_schedulable()
             && !worker.is_over_capacity()
             && !self.closed_zones.contains(&worker.spec.zone);
         self.set_room(id, is_open.then(|| worker.free()));
@@ -184,7 +184,7 @@
     pub fn set_total(&mut self, cell: &Cell) {
         self.total = cell
             .workers()
-            .filter(|worker| worker.is_open())
+            .filter(|worker| worker.is_schedulable())
             .fold(Resources::default(), |sum, worker| sum.plus(&worker.spec.capacity));
     }
 
