--- a/crates/agatesill_policy/src/batch/cell.rs
+++ b/crates/agatesill_policy/src/batch/cell.rs
@@ -1,4 +1,4 @@
-//! The ledger of one cell: jobs, attempts and reservations, changed by committed deltas only.
+//! The ledger of one cell: jobs, attempts and reservations. Only committed deltas change it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,49 +12,49 @@
 /// A worker in the ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// As described by the settings or the platform's list.
+    /// Description from the settings or the platform's worker list.
     pub spec: WorkerSpec,
-    /// Whether it may be used.
+    /// Lifecycle state.
     pub state: WorkerState,
-    /// Whether the failure policy holds it back.
+    /// Whether the failure policy excludes the worker from new tasks.
     pub quarantined: bool,
-    /// Capacity under which its reservations were made. Larger than the capacity in
+    /// Capacity under which its reservations were made. It is larger than the capacity in
     /// [`Worker::spec`] while the reservations exceed a reduced capacity.
     #[serde(default)]
     pub granted: Resources,
-    /// Sum of the reservations that it carries.
+    /// Sum of the reservations on the worker.
     #[serde(skip)]
     pub used: Resources,
-    /// Tasks with a live attempt on it.
+    /// Tasks with a live attempt on the worker.
     #[serde(skip)]
     pub live: BTreeSet<TaskId>,
 }
 
 impl Worker {
-    /// What is left of its capacity.
+    /// Unreserved capacity.
     pub fn free(&self) -> Resources {
         self.spec.capacity.minus(&self.used)
     }
 
-    /// Whether one more reservation fits its present capacity.
-    pub fn has_room(&self, reserve: &Resources) -> bool {
+    /// Whether another reservation fits into the current capacity.
+    pub fn has_capacity_for(&self, reserve: &Resources) -> bool {
         self.spec.capacity.holds(&self.used.plus(reserve))
     }
 
-    /// Whether its reservations exceed its present capacity, which may have been reduced since they
+    /// Whether the reservations exceed the current capacity, which may have been reduced since they
     /// were made.
     pub fn is_over_capacity(&self) -> bool {
         !self.spec.capacity.holds(&self.used)
     }
 
-    /// Sets [`Worker::granted`] to the present capacity if the reservations fit it.
+    /// Sets [`Worker::granted`] to the current capacity if the reservations fit into it.
     pub(super) fn update_granted(&mut self) {
         if !self.is_over_capacity() {
             self.granted = self.spec.capacity;
         }
     }
 
-    /// Whether it takes new work.
+    /// Whether the worker accepts new tasks.
     pub fn is_schedulable(&self) -> bool {
         self.state == WorkerState::Active && !self.quarantined
     }
@@ -66,18 +66,18 @@
 pub struct Cell {
     pub(super) jobs: BTreeMap<String, Job>,
     pub(super) workers: BTreeMap<WorkerId, Worker>,
-    /// Jobs that wait for a job, by that job.
+    /// Jobs that depend on a job, by the identifier of that job.
     #[serde(skip)]
     pub(super) dependents: BTreeMap<String, BTreeSet<String>>,
-    /// Number of workers by capacity, for the question whether a need can ever be met.
+    /// Number of active workers by capacity, to find out whether a request can ever be satisfied.
     #[serde(skip)]
     pub(super) shapes: BTreeMap<(u64, u64, u64), u32>,
-    /// The same for lost workers, which may return.
+    /// Number of lost workers by capacity. They may return.
     #[serde(skip)]
     pub(super) lost_shapes: BTreeMap<(u64, u64, u64), u32>,
 }
 
-/// The stored form of a [`Cell`]; what is derived is rebuilt when it is read.
+/// The stored form of a [`Cell`]. Derived state is rebuilt when it is read.
 #[derive(Deserialize)]
 struct CellDoc {
     jobs: BTreeMap<String, Job>,
@@ -93,7 +93,7 @@
 }
 
 impl Cell {
-    /// Creates a ledger over `workers`.
+    /// Creates a ledger with these workers.
     pub fn new(workers: &[WorkerSpec]) -> Self {
         let mut cell = Self::default();
         for worker in workers {
@@ -102,8 +102,8 @@
         cell
     }
 
-    /// The deltas that bring the ledger's workers in line with `workers`, a list from the
-    /// settings or the platform: those missing are added, those gone are leaving.
+    /// Deltas that align the ledger's workers with a list from the settings or the platform:
+    /// missing workers are added, and workers that are no longer listed are marked as leaving.
     pub fn worker_deltas(&self, workers: &[WorkerSpec]) -> Vec<CellDelta> {
         let listed: BTreeSet<WorkerId> = workers.iter().map(|worker| worker.id).collect();
         let changed = workers.iter().filter(|spec| {
@@ -112,31 +112,31 @@
                 .is_none_or(|worker| worker.spec != **spec || worker.state != WorkerState::Active)
         });
         let added = changed.map(|spec| CellDelta::AddWorker { worker: spec.clone() });
-        let gone = self
+        let removed = self
             .workers
             .iter()
             .filter(|(id, worker)| !listed.contains(id) && worker.state == WorkerState::Active);
-        let leaving = gone
+        let leaving = removed
             .map(|(id, _)| CellDelta::SetWorkerState { worker: *id, state: WorkerState::Leaving });
         added.chain(leaving).collect()
     }
 
-    /// One job.
+    /// The job with this identifier.
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// All jobs.
+    /// All jobs, ordered by identifier.
     pub fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// One worker.
+    /// The worker with this identifier.
     pub fn worker(&self, id: WorkerId) -> Option<&Worker> {
         self.workers.get(&id)
     }
 
-    /// All workers.
+    /// All workers, ordered by identifier.
     pub fn workers(&self) -> impl ExactSizeIterator<Item = &Worker> {
         self.workers.values()
     }
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Whether an attempt is placed on a worker and is not being stopped.
+    /// Whether the attempt is placed on this worker and is not being stopped.
     pub fn is_placed(&self, task: &str, attempt: Attempt, worker: WorkerId) -> bool {
         self.locate(task).is_some_and(|(job, index)| {
             let view = &job.tasks[index];
@@ -159,17 +159,17 @@
         })
     }
 
-    /// Open jobs that wait for `id`.
+    /// Open jobs that depend on job `id`.
     pub fn dependents(&self, id: &str) -> Vec<String> {
         self.dependents.get(id).into_iter().flatten().cloned().collect()
     }
 
-    /// Whether any active worker could hold `need` when empty.
-    pub fn holds_somewhere(&self, need: &Resources) -> bool {
+    /// Whether `need` fits into the total capacity of any active worker.
+    pub fn fits_active_worker(&self, need: &Resources) -> bool {
         self.shapes.keys().any(|shape| from_shape(*shape).holds(need))
     }
 
-    /// Why `job` could never run here, naming the nearest limit, or `None` when it could. Lost
+    /// Why `job` could never run in this cell, with the nearest limit, or `None` if it could. Lost
     /// workers count, since they may return.
     pub fn impossible(&self, job: &JobSpec) -> Option<String> {
         let shapes = || self.shapes.keys().chain(self.lost_shapes.keys());
@@ -179,31 +179,32 @@
         Some(nearest_limit(&job.need, shapes().map(|shape| from_shape(*shape))))
     }
 
-    /// Why `job` cannot run on the workers that are there now, or `None` when it can.
+    /// Why `job` cannot run on the current active workers, or `None` if it can.
     pub fn impossible_now(&self, job: &JobSpec) -> Option<String> {
-        if self.holds_somewhere(&job.need) {
+        if self.fits_active_worker(&job.need) {
             return None;
         }
         Some(nearest_limit(&job.need, self.shapes.keys().map(|shape| from_shape(*shape))))
     }
 
-    /// The job and index that `task` names.
+    /// The job and the task index that `task` identifies.
     pub fn locate(&self, task: &str) -> Option<(&Job, usize)> {
         let (id, index) = split_task(task)?;
         let job = self.jobs.get(id)?;
         (index < job.tasks.len()).then_some((job, index))
     }
 
-    /// Applies a committed delta and returns what has to be done because of it.
+    /// Applies a committed delta and returns its effects.
     ///
-    /// Deltas that no longer fit the state (a second end of the same attempt, a placement of a
-    /// cancelled task, one on a worker without room) change nothing, so that a replay is
-    /// idempotent and two proposals made from one state cannot break the ledger.
+    /// A delta that no longer matches the state changes nothing, such as a second end of the same
+    /// attempt, a placement of a cancelled task, or one on a worker without enough free capacity.
+    /// Replays are therefore idempotent, and two proposals made from the same state cannot corrupt
+    /// the ledger.
     ///
     /// # Panics
     ///
-    /// When a worker would be charged beyond its capacity or a reservation would be freed twice:
-    /// a wrong ledger must stop before it sends a start.
+    /// Panics if a worker would be allocated beyond its capacity or a reservation would be released
+    /// twice, so that an incorrect ledger stops before it sends a start.
     pub fn apply(&mut self, delta: &CellDelta) -> Vec<CellEffect> {
         match delta {
             CellDelta::Accept { job, at_ms } => self.accept(job, *at_ms, None),
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Recomputes all that is derived from the stored state.
+    /// Recomputes all state that is derived from the stored state.
     fn rebuild(&mut self) {
         for worker in self.workers.values() {
             match worker.state {
@@ -238,8 +239,8 @@
         for (id, job) in &mut self.jobs {
             job.open_tasks = job.tasks.iter().filter(|task| !task.state.is_closed()).count() as u32;
             job.live_tasks = 0;
-            for on in &job.blocked_on {
-                self.dependents.entry(on.clone()).or_default().insert(id.clone());
+            for dependency in &job.blocked_on {
+                self.dependents.entry(dependency.clone()).or_default().insert(id.clone());
             }
             for (index, task) in job.tasks.iter().enumerate() {
                 let Some(worker) = task.state.worker() else { continue };
@@ -255,9 +256,9 @@
     }
 }
 
-/// Guards against overcommitment by a wrong or doubled placement: it would show as a worker
-/// charged beyond the capacity under which its reservations were made. It runs at every transition
-/// of a worker, in release builds too.
+/// Asserts that a worker's reservations fit the capacity under which they were made, since an
+/// incorrect or duplicate placement would exceed it. Runs at every transition of a worker, also in
+/// release builds.
 pub(super) fn assert_capacity(worker: &Worker) {
     assert!(
         worker.granted.holds(&worker.used),
@@ -268,7 +269,7 @@
     );
 }
 
-/// Counts a worker in or out of the shapes that its state belongs to.
+/// Adds `by` to the number of workers with this worker's capacity.
 pub(super) fn count_shape(shapes: &mut BTreeMap<(u64, u64, u64), u32>, worker: &Worker, by: i32) {
     let count = shapes.entry(shape(&worker.spec.capacity)).or_default();
     *count = count.saturating_add_signed(by);
@@ -283,25 +284,25 @@
     Resources { cpu_milli, memory_mb, accelerators }
 }
 
-/// Names the dimension that `need` misses by the smallest ratio on the worker that comes closest.
+/// The limiting dimension of the worker whose capacity is nearest to `need` by ratio.
 fn nearest_limit(need: &Resources, capacities: impl Iterator<Item = Resources>) -> String {
-    let ratio = |wanted: u64, have: u64| wanted as f64 / (have as f64).max(0.001);
-    let worst = |have: &Resources| {
+    let ratio = |needed: u64, available: u64| needed as f64 / (available as f64).max(0.001);
+    let worst = |available: &Resources| {
         [
-            ("cpu_milli", need.cpu_milli, have.cpu_milli),
-            ("memory_mb", need.memory_mb, have.memory_mb),
-            ("accelerators", need.accelerators, have.accelerators),
+            ("cpu_milli", need.cpu_milli, available.cpu_milli),
+            ("memory_mb", need.memory_mb, available.memory_mb),
+            ("accelerators", need.accelerators, available.accelerators),
         ]
         .into_iter()
         .max_by(|a, b| ratio(a.1, a.2).total_cmp(&ratio(b.1, b.2)))
         .unwrap_or(("cpu_milli", need.cpu_milli, 0))
     };
     let nearest = capacities
-        .map(|have| worst(&have))
+        .map(|available| worst(&available))
         .min_by(|a, b| ratio(a.1, a.2).total_cmp(&ratio(b.1, b.2)));
     match nearest {
-        Some((name, wanted, have)) => {
-            format!("need.{name} {wanted} is beyond the nearest worker's {have}")
+        Some((name, needed, available)) => {
+            format!("need.{name} {needed} is beyond the nearest worker's {available}")
         }
         None => "the cell has no workers".to_owned(),
     }
--- a/crates/agatesill_policy/src/batch/cell_transitions.rs
+++ b/crates/agatesill_policy/src/batch/cell_transitions.rs
@@ -18,7 +18,7 @@
         }
         let tasks = match progress {
             Some(tasks) => tasks.to_vec(),
-            None => vec![TaskView::fresh(); spec.tasks as usize],
+            None => vec![TaskView::unplaced(); spec.tasks as usize],
         };
         let open_tasks = tasks.iter().filter(|task| !task.state.is_closed()).count() as u32;
         let mut job = Job {
@@ -32,24 +32,30 @@
             open_tasks,
             live_tasks: 0,
         };
-        let broken = self.block(&mut job);
+        let broken = self.record_dependencies(&mut job);
         self.jobs.insert(spec.id.clone(), job);
         match broken {
-            Some(on) => self.fail(&spec.id, &format!("job {on}, which must be done first, is not")),
+            Some(dependency) => {
+                self.fail(&spec.id, &format!("job {dependency}, which must be done first, is not"))
+            }
             None => Vec::new(),
         }
     }
 
-    /// Records what `job` waits for; returns a job that can no longer come to be done.
-    fn block(&mut self, job: &mut Job) -> Option<String> {
-        for on in &job.spec.after {
-            match self.jobs.get(on).map(|on| &on.outcome) {
+    /// Records the unfinished jobs that `job` depends on. Returns a dependency that can no longer
+    /// be done, if there is one.
+    fn record_dependencies(&mut self, job: &mut Job) -> Option<String> {
+        for dependency in &job.spec.after {
+            match self.jobs.get(dependency).map(|job| &job.outcome) {
                 Some(Some(JobOutcome::Done)) => {}
                 Some(None) => {
-                    job.blocked_on.insert(on.clone());
-                    self.dependents.entry(on.clone()).or_default().insert(job.spec.id.clone());
+                    job.blocked_on.insert(dependency.clone());
+                    self.dependents
+                        .entry(dependency.clone())
+                        .or_default()
+                        .insert(job.spec.id.clone());
                 }
-                Some(Some(_)) | None => return Some(on.clone()),
+                Some(Some(_)) | None => return Some(dependency.clone()),
             }
         }
         None
@@ -68,11 +74,11 @@
         if !job.is_runnable() || attempt != view.attempt + 1 {
             return Vec::new();
         }
-        let Some(on) = self.workers.get_mut(&worker) else { return Vec::new() };
-        if !on.is_schedulable() || !on.has_room(reserve) {
+        let Some(target) = self.workers.get_mut(&worker) else { return Vec::new() };
+        if !target.is_schedulable() || !target.has_capacity_for(reserve) {
             return Vec::new();
         }
-        charge(on, task, reserve);
+        allocate(target, task, reserve);
         if let Some((job, index)) = self.locate_mut(task) {
             let view = &mut job.tasks[index];
             view.state = TaskState::Placed { worker };
@@ -111,7 +117,7 @@
             return self.late_success(task);
         }
         let Some(worker) = view.state.worker() else {
-            // The attempt was declared lost, nothing newer runs, and now it reports success.
+            // The attempt was declared lost and has no successor, but it reports success now.
             return match *outcome {
                 AttemptOutcome::Done if attempt == view.attempt => self.late_success(task),
                 _ => Vec::new(),
@@ -127,7 +133,7 @@
         self.finish_attempt(task, outcome)
     }
 
-    /// Moves a task whose reservation was just freed to its next state.
+    /// Moves a task whose reservation was just released to its next state.
     fn finish_attempt(&mut self, task: &str, outcome: &AttemptOutcome) -> Vec<CellEffect> {
         let Some((job, index)) = self.locate_mut(task) else { return Vec::new() };
         job.live_tasks -= 1;
@@ -163,8 +169,8 @@
         self.close_if_done(&id)
     }
 
-    /// Takes a success reported for an attempt that was declared lost: the work is done, so the
-    /// task closes, and a newer attempt is stopped; the newer one's reservation stays until then.
+    /// Handles a success reported by an attempt that was declared lost. The work is done, so the
+    /// task closes. A newer attempt is stopped and keeps its reservation until it has ended.
     fn late_success(&mut self, task: &str) -> Vec<CellEffect> {
         let Some((job, index)) = self.locate_mut(task) else { return Vec::new() };
         let view = &mut job.tasks[index];
@@ -199,7 +205,7 @@
         }
     }
 
-    /// Records the job's one outcome and unblocks the jobs that wait for it.
+    /// Records the final outcome of a job and unblocks the jobs that depend on it.
     fn close(&mut self, id: &str, outcome: JobOutcome) -> Vec<CellEffect> {
         let Some(job) = self.jobs.get_mut(id) else { return Vec::new() };
         assert!(job.outcome.is_none(), "job {id} closed twice");
@@ -223,19 +229,19 @@
         self.abandon(id, outcome, Settled::Failed)
     }
 
-    /// Gives up a job and, one after the other, all jobs that wait for it.
+    /// Closes a job without success and then, transitively, all jobs that depend on it.
     fn abandon(&mut self, id: &str, outcome: JobOutcome, settled: Settled) -> Vec<CellEffect> {
         let mut effects = self.abandon_one(id, outcome, settled);
         let mut given_up = vec![id.to_owned()];
-        while let Some(on) = given_up.pop() {
-            let reason = format!("job {on}, which must be done first, is not");
-            let closed = self.jobs.get(&on).is_some_and(|job| {
+        while let Some(dependency) = given_up.pop() {
+            let reason = format!("job {dependency}, which must be done first, is not");
+            let closed = self.jobs.get(&dependency).is_some_and(|job| {
                 job.outcome.as_ref().is_some_and(|outcome| *outcome != JobOutcome::Done)
             });
             if !closed {
                 continue;
             }
-            for next in self.dependents.remove(&on).unwrap_or_default() {
+            for next in self.dependents.remove(&dependency).unwrap_or_default() {
                 let outcome = JobOutcome::Failed { reason: reason.clone() };
                 effects.extend(self.abandon_one(&next, outcome, Settled::Failed));
                 given_up.push(next);
@@ -338,7 +344,8 @@
     }
 }
 
-/// Closes a waiting task, or settles what a live one becomes and asks for its stop.
+/// Closes a waiting task. For a live one, sets its pending final state and returns the request to
+/// stop.
 fn abandon_task(job: &mut Job, index: usize, settled: Settled) -> Option<CellEffect> {
     let task = job.task_id(index);
     let view = &mut job.tasks[index];
@@ -365,18 +372,21 @@
     }
 }
 
-fn charge(worker: &mut Worker, task: &str, reserve: &Resources) {
+fn allocate(worker: &mut Worker, task: &str, reserve: &Resources) {
     worker.used = worker.used.plus(reserve);
-    assert!(!worker.is_over_capacity(), "worker {} charged beyond its capacity", worker.spec.id);
+    assert!(!worker.is_over_capacity(), "worker {} allocated beyond its capacity", worker.spec.id);
     assert_capacity(worker);
-    // A second live attempt of one task would show as a double entry here, and as the same work
-    // done twice on the floor.
-    assert!(worker.live.insert(task.to_owned()), "task {task} is live twice");
+    // Two live attempts of one task would do the same work twice.
+    assert!(worker.live.insert(task.to_owned()), "task {task} already has a live attempt");
 }
 
 fn release(worker: &mut Worker, task: &str, reserved: &Resources) {
-    assert!(worker.live.remove(task), "task {task} freed twice");
-    assert!(worker.used.holds(reserved), "worker {} freed beyond its use", worker.spec.id);
+    assert!(worker.live.remove(task), "task {task} released twice");
+    assert!(
+        worker.used.holds(reserved),
+        "worker {} released beyond its allocation",
+        worker.spec.id
+    );
     worker.used = worker.used.minus(reserved);
     worker.update_granted();
 }
--- a/crates/agatesill_policy/src/batch/delta.rs
+++ b/crates/agatesill_policy/src/batch/delta.rs
@@ -1,4 +1,4 @@
-//! What may change in a cell's ledger, and what follows from a change.
+//! Changes of a cell's ledger and their effects.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,112 +8,117 @@
 value_type! {
     /// Why an attempt failed, as far as the worker can tell.
     pub enum FailureKind {
-        /// The task ended with an error of its own.
+        /// The task ended with its own error.
         TaskError,
-        /// The task used more memory than was reserved and was stopped by the worker.
+        /// The worker stopped the task because it used more memory than was reserved.
         MemoryOverrun,
-        /// The worker could not run the task: image, disk, device or network of the worker.
+        /// The worker could not run the task, for example because of its image, disk, device or
+        /// network.
         WorkerError,
-        /// The task's input is missing or invalid: another try cannot help.
+        /// The task's input is missing or invalid, so a retry cannot succeed.
         BadInput,
     }
 }
 
 value_type! {
-    /// Why a running attempt is stopped.
+    /// Why a running attempt is evicted.
     pub enum EvictReason {
-        /// A latency-critical task beside it misses its promise.
+        /// A latency-critical service on the same worker misses its latency target.
         Promise,
-        /// Room is needed for urgent work.
+        /// An urgent task needs the capacity.
         Urgent,
-        /// Room is needed for a team below its share.
+        /// A team below its share needs the capacity.
         Share,
         /// The worker is leaving or in quarantine.
         Drain,
     }
 }
 
-/// How an attempt ended. Each variant is certain: the worker confirmed it, or its lease ran out.
+/// How an attempt ended. The end is certain for each variant: the worker confirmed it, or its lease
+/// expired.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
-    /// Finished its work.
+    /// The attempt completed its work.
     Done,
-    /// Failed by itself.
+    /// The attempt failed by an error of the task or its worker.
     Failed {
-        /// Why.
+        /// The kind of failure.
         kind: FailureKind,
     },
-    /// Confirmed as stopped by the worker.
+    /// The worker confirmed the stop.
     Stopped {
-        /// Progress kept by the checkpoint taken before the stop.
+        /// Progress saved by the checkpoint taken before the stop.
         checkpoint_ms: u64,
     },
-    /// Not heard of again, and its lease has certainly ended.
+    /// The worker stopped reporting the attempt, and the attempt's lease has certainly expired.
     LeaseEnded,
-    /// Lost with its worker during probation: it may have crashed the worker.
+    /// The attempt was lost with its worker during its probation, so it may have crashed the
+    /// worker.
     WorkerCrashed,
 }
 
-/// The one outcome of a job; the first recorded stays.
+/// The final outcome of a job. The first recorded outcome stays.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobOutcome {
-    /// All tasks done.
+    /// All tasks are done.
     Done,
-    /// Given up.
+    /// The job failed and is not retried.
     Failed {
-        /// Why, for the submitter.
+        /// Reason reported to the submitter.
         reason: String,
     },
-    /// Cancelled by its submitter.
+    /// The submitter cancelled the job.
     Cancelled,
 }
 
 value_type! {
-    /// Whether a worker may be used.
+    /// Lifecycle state of a worker.
     pub enum WorkerState {
-        /// Takes new work.
+        /// Accepts new tasks.
         Active,
-        /// Takes no new work; its attempts are moved.
+        /// Accepts no new tasks; its attempts are moved.
         Leaving,
-        /// Not heard of; its attempts stay charged until their leases have ended.
+        /// Unresponsive. Its resources stay allocated until the leases of its attempts have
+        /// expired.
         Lost,
     }
 }
 
-/// A change of the ledger. Every variant is safe to replay in order.
+/// A change of the ledger. Every variant can be replayed safely in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CellDelta {
-    /// A job is accepted.
+    /// Accepts a job.
     Accept {
-        /// The job.
+        /// The accepted job.
         job: JobSpec,
         /// Time of acceptance.
         at_ms: u64,
     },
-    /// A reservation is made and an attempt may start.
+    /// Reserves resources on a worker; the attempt may start.
     Place {
         /// The task.
         task: TaskId,
-        /// The attempt's number.
+        /// Number of the new attempt.
         attempt: Attempt,
-        /// Where.
+        /// Worker of the attempt.
         worker: WorkerId,
-        /// Amounts reserved for this attempt.
+        /// Resources reserved for this attempt.
         reserve: Resources,
     },
-    /// The attempt is asked to save its progress and stop; its reservation stays until its end.
+    /// Asks an attempt to save its progress and stop. Its reservation stays until the attempt has
+    /// ended.
     Evict {
         /// The task.
         task: TaskId,
-        /// The attempt.
+        /// The live attempt.
         attempt: Attempt,
-        /// Why.
+        /// Why the attempt is evicted.
         reason: EvictReason,
     },
-    /// The attempt's end is certain; its reservation is free.
+    /// Records the certain end of an attempt and releases its reservation.
     End {
         /// The task.
         task: TaskId,
@@ -122,81 +127,81 @@
         /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// The job is cancelled: nothing of it starts any more.
+    /// Cancels a job; none of its tasks starts afterwards.
     Cancel {
-        /// The job.
+        /// The job's identifier.
         job: String,
     },
-    /// The job is given up.
+    /// Fails a job, which is not retried.
     Fail {
-        /// The job.
+        /// The job's identifier.
         job: String,
-        /// Why, for the submitter.
+        /// Reason reported to the submitter.
         reason: String,
     },
-    /// The job cannot run on the workers there are; it waits for a change.
+    /// Parks a job that no current worker can hold until the workers change.
     Park {
-        /// The job.
+        /// The job's identifier.
         job: String,
-        /// The nearest limit, for the submitter.
+        /// The nearest limit, reported to the submitter.
         reason: String,
     },
-    /// A parked job may run again.
+    /// Makes a parked job runnable again.
     Unpark {
-        /// The job.
+        /// The job's identifier.
         job: String,
     },
-    /// The worker takes no new work until it is released.
+    /// Excludes a worker from new tasks until it is released.
     Quarantine {
         /// The worker.
         worker: WorkerId,
     },
-    /// The worker takes new work again.
+    /// Releases a worker from quarantine.
     Release {
         /// The worker.
         worker: WorkerId,
     },
-    /// A worker joins, or returns after it was leaving or lost.
+    /// Adds a worker, or reactivates one that was leaving or lost.
     AddWorker {
-        /// The worker.
+        /// The worker's description.
         worker: WorkerSpec,
     },
-    /// A worker is leaving or lost.
+    /// Marks a worker as leaving or lost.
     SetWorkerState {
         /// The worker.
         worker: WorkerId,
-        /// Its state.
+        /// The new state.
         state: WorkerState,
     },
-    /// The job moves to another cell, which imports it; nothing of it starts here any more.
+    /// Moves a job to another cell, which imports it. None of its tasks starts here afterwards.
     Forward {
-        /// The job, which must have no live attempt.
+        /// The job's identifier. The job must have no live attempt.
         job: String,
         /// The other cell.
         cell: String,
     },
-    /// A job arrives from another cell with its progress.
+    /// Accepts a job from another cell with its progress.
     Import {
         /// The job.
         job: JobSpec,
-        /// Time of its first acceptance.
+        /// Time of the job's first acceptance.
         at_ms: u64,
-        /// Its tasks as the other cell recorded them.
+        /// The job's tasks as recorded by the other cell.
         tasks: Vec<TaskView>,
     },
-    /// A closed or forwarded job is dropped from the ledger.
+    /// Removes a closed or forwarded job from the ledger.
     Forget {
-        /// The job.
+        /// The job's identifier.
         job: String,
     },
 }
 
-/// What follows from a committed delta.
+/// An action that follows from a committed delta.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellEffect {
-    /// Tell the worker to run the attempt.
+    /// Ask the worker to run the attempt.
     Start {
-        /// Where.
+        /// The worker.
         worker: WorkerId,
         /// The task.
         task: TaskId,
@@ -204,23 +209,23 @@
         attempt: Attempt,
         /// Progress to resume from.
         checkpoint_ms: u64,
-        /// Amounts reserved.
+        /// Reserved resources.
         reserve: Resources,
     },
-    /// Tell the worker to stop the attempt.
+    /// Ask the worker to stop the attempt.
     Stop {
-        /// Where.
+        /// The worker.
         worker: WorkerId,
         /// The task.
         task: TaskId,
         /// The attempt.
         attempt: Attempt,
-        /// Whether to save progress first.
+        /// Whether the worker saves the progress first.
         checkpoint: bool,
     },
-    /// The job has its one outcome.
+    /// The job reached its final outcome.
     JobClosed {
-        /// The job.
+        /// The job's identifier.
         job: String,
         /// The outcome.
         outcome: JobOutcome,
--- a/crates/agatesill_policy/src/batch/mod.rs
+++ b/crates/agatesill_policy/src/batch/mod.rs
@@ -1,8 +1,8 @@
-//! Batch work: the ledger of one cell of workers and the decisions on it.
+//! The batch scheduler: the ledger of one cell of workers and the policy that plans on it.
 //!
-//! A [`Cell`] changes only through [`CellDelta`]s, each committed before its effects are carried
-//! out. A [`BatchPolicy`] beside it holds what is learned and proposes deltas; all of it can be
-//! rebuilt from the ledger after a takeover.
+//! A [`Cell`] changes only through [`CellDelta`]s. Each delta is committed before its effects are
+//! carried out. A [`BatchPolicy`] holds the learned state and proposes deltas; after a takeover all
+//! of it can be rebuilt from the ledger.
 
 mod cell;
 mod cell_transitions;
@@ -28,31 +28,31 @@
 /// Identifies a task: the job's identifier, a slash and the task's index.
 pub type TaskId = String;
 
-/// Counts the tries of one task, from 1.
+/// Number of an attempt of one task, counted from 1.
 pub type Attempt = u32;
 
 value_type! {
-    /// Amounts in the three dimensions that a worker has.
+    /// Amounts of the three resources of a worker.
     #[derive(Copy, Eq, Default)]
     pub struct Resources {
-        /// Processors, in thousandths.
+        /// CPU in thousandths of a core.
         pub cpu_milli: u64,
-        /// Memory.
+        /// Memory in megabytes.
         pub memory_mb: u64,
-        /// Whole accelerators.
+        /// Number of whole accelerators.
         pub accelerators: u64,
     }
 }
 
 impl Resources {
-    /// Whether `other` fits inside.
+    /// Whether `other` fits into these amounts in every dimension.
     pub fn holds(&self, other: &Resources) -> bool {
         self.cpu_milli >= other.cpu_milli
             && self.memory_mb >= other.memory_mb
             && self.accelerators >= other.accelerators
     }
 
-    /// The sum of both.
+    /// The sum of both amounts.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli + other.cpu_milli,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What is left after taking `other` out, never below zero.
+    /// The difference, saturating at zero in each dimension.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -72,13 +72,13 @@
 }
 
 value_type! {
-    /// A worker as the settings or the platform's list describe it.
+    /// A worker as described by the settings or the platform's worker list.
     pub struct WorkerSpec {
-        /// Identity within the cell.
+        /// Identifier within the cell.
         pub id: WorkerId,
-        /// What it can carry.
+        /// Total resources.
         pub capacity: Resources,
-        /// Rack.
+        /// Rack, a failure domain.
         pub rack: String,
         /// Availability zone.
         pub zone: String,
@@ -86,31 +86,32 @@
 }
 
 value_type! {
-    /// A job as submitted.
+    /// A submitted job.
     #[serde(deny_unknown_fields)]
     pub struct JobSpec {
-        /// Identity, chosen by the submitter; a second submission with the same one is the same job.
+        /// Identifier chosen by the submitter. A second submission with the same identifier is the
+        /// same job.
         pub id: String,
-        /// Team that pays for it.
+        /// Team whose share and quota the job uses.
         pub team: String,
-        /// Profile of the batch class.
+        /// Name of a profile of the batch class.
         pub profile: String,
-        /// Kind of work, the unit by which sizes and times are learned.
+        /// Kind of work. Sizes and run times are learned per class.
         #[serde(default)]
         pub class: String,
         /// Number of tasks.
         pub tasks: u32,
-        /// Declared need of each task.
+        /// Declared resources of each task.
         pub need: Resources,
         /// Declared run time of each task.
         pub run_ms: u64,
-        /// Time from submission by which all tasks should be done; 0 means none.
+        /// Time from submission by which all tasks should be done; 0 means no deadline.
         #[serde(default)]
         pub deadline_ms: u64,
-        /// Whether tasks go before all others.
+        /// Whether the tasks run before all other batch tasks.
         #[serde(default)]
         pub urgent: bool,
-        /// Jobs of the same cell that must be done first.
+        /// Jobs of the same cell that must be done before this one starts.
         #[serde(default)]
         pub after: Vec<String>,
     }
--- a/crates/agatesill_policy/src/batch/policy/notes.rs
+++ b/crates/agatesill_policy/src/batch/policy/history.rs
@@ -1,112 +1,112 @@
-//! What happened to each job, kept short for `explain`.
+//! Recent events of each job, for `explain`.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::super::{Attempt, AttemptOutcome, EvictReason, WorkerId};
 
-/// Entries kept for each job; the newest stay.
-const ENTRIES: usize = 24;
+/// Number of events kept per job. The oldest are dropped first.
+const MAX_EVENTS_PER_JOB: usize = 24;
 
-/// One thing that happened.
+/// An event in the history of a job.
 #[derive(Clone, Debug)]
-pub enum Note {
+pub enum HistoryEvent {
     /// A task was placed.
     Placed {
         /// Index of the task.
         task: u32,
         /// The attempt.
         attempt: Attempt,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
     },
-    /// A task was asked to move.
+    /// A task was asked to save its progress and stop.
     Evicted {
         /// Index of the task.
         task: u32,
-        /// From where.
+        /// The worker that it ran on.
         worker: WorkerId,
-        /// Why.
+        /// Why it was evicted.
         reason: EvictReason,
     },
-    /// An attempt ended other than by success.
+    /// An attempt ended without success.
     Ended {
         /// Index of the task.
         task: u32,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// How.
+        /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// A task was throttled, or no longer is.
+    /// A throttle was set or lifted.
     Throttled {
         /// Index of the task.
         task: u32,
-        /// Share of processor time left.
+        /// Share of CPU time left, in percent.
         percent: u32,
     },
 }
 
-/// The notes of all jobs.
+/// The events of all jobs.
 #[derive(Debug, Default)]
-pub struct Notes {
-    jobs: BTreeMap<String, VecDeque<(u64, Note)>>,
+pub struct History {
+    jobs: BTreeMap<String, VecDeque<(u64, HistoryEvent)>>,
 }
 
-impl Notes {
-    /// Adds a note.
-    pub fn add(&mut self, now_ms: u64, job: &str, note: Note) {
+impl History {
+    /// Adds an event.
+    pub fn add(&mut self, now_ms: u64, job: &str, event: HistoryEvent) {
         if !self.jobs.contains_key(job) {
             self.jobs.insert(job.to_owned(), VecDeque::new());
         }
-        let Some(notes) = self.jobs.get_mut(job) else { return };
-        if notes.len() == ENTRIES {
-            notes.pop_front();
+        let Some(history) = self.jobs.get_mut(job) else { return };
+        if history.len() == MAX_EVENTS_PER_JOB {
+            history.pop_front();
         }
-        notes.push_back((now_ms, note));
+        history.push_back((now_ms, event));
     }
 
-    /// Drops a job's notes.
+    /// Drops the events of a job.
     pub fn forget(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// A job's notes in words, oldest first.
+    /// The events of a job as text, oldest first.
     pub fn lines(&self, job: &str) -> Vec<String> {
-        let notes = self.jobs.get(job);
-        notes.into_iter().flatten().map(|(at_ms, note)| line(*at_ms, note)).collect()
+        let history = self.jobs.get(job);
+        history.into_iter().flatten().map(|(at_ms, event)| format_event(*at_ms, event)).collect()
     }
 }
 
-fn line(at_ms: u64, note: &Note) -> String {
-    match note {
-        Note::Placed { task, attempt, worker } => {
+fn format_event(at_ms: u64, event: &HistoryEvent) -> String {
+    match event {
+        HistoryEvent::Placed { task, attempt, worker } => {
             format!("{at_ms} ms: task {task} attempt {attempt} placed on worker {worker}")
         }
-        Note::Evicted { task, worker, reason } => {
+        HistoryEvent::Evicted { task, worker, reason } => {
             let why = match reason {
-                EvictReason::Promise => "a service beside it missed its promise",
-                EvictReason::Urgent => "urgent work needed the room",
-                EvictReason::Share => "a team below its share needed the room",
-                EvictReason::Drain => "the worker takes no more work",
+                EvictReason::Promise => "a service on the worker missed its latency target",
+                EvictReason::Urgent => "an urgent task needed the capacity",
+                EvictReason::Share => "a team below its share needed the capacity",
+                EvictReason::Drain => "the worker accepts no more tasks",
             };
-            format!("{at_ms} ms: task {task} moved from worker {worker}: {why}")
+            format!("{at_ms} ms: task {task} evicted from worker {worker}: {why}")
         }
-        Note::Ended { task, worker, outcome } => {
+        HistoryEvent::Ended { task, worker, outcome } => {
             let how = match outcome {
                 AttemptOutcome::Done => "done".to_owned(),
                 AttemptOutcome::Failed { kind } => format!("failed ({kind:?})"),
                 AttemptOutcome::Stopped { checkpoint_ms } => {
                     format!("stopped with {checkpoint_ms} ms of work saved")
                 }
-                AttemptOutcome::LeaseEnded => "lost: its lease ended unheard".to_owned(),
+                AttemptOutcome::LeaseEnded => "lost: its lease expired without a report".to_owned(),
                 AttemptOutcome::WorkerCrashed => {
                     "lost with its worker soon after its start".to_owned()
                 }
             };
             format!("{at_ms} ms: task {task} on worker {worker} {how}")
         }
-        Note::Throttled { task, percent } => {
-            format!("{at_ms} ms: task {task} runs at {percent}% of its processors")
+        HistoryEvent::Throttled { task, percent } => {
+            format!("{at_ms} ms: task {task} runs at {percent}% of its CPU time")
         }
     }
 }
--- a/crates/agatesill_policy/src/batch/policy/interference.rs
+++ b/crates/agatesill_policy/src/batch/policy/interference.rs
@@ -1,66 +1,66 @@
-//! How much a batch class slows a service down, learned from late measurements.
+//! Model of how much a batch class slows down a service, learned from delayed measurements.
 //!
-//! Load pattern: services and batch tasks on shared workers, where the slowdown depends on the
-//! pair and grows with the service's load, and is seen seconds after the harm. Without it, a
-//! placement by size alone pairs services with the tasks that hurt them most; docs/BATCH.md gives
-//! the figures of `noisy-neighbour` against first fit, best fit and an oracle.
+//! The slowdown of services on shared workers depends on the pair of service and class, grows with
+//! the service's load, and is visible only seconds later. Placement by size alone would put
+//! services next to the tasks that slow them down most. docs/BATCH.md has the results of the
+//! `noisy-neighbour` benchmark against first fit, best fit and an oracle.
 //!
-//! For each service the logarithm of its tail answer time over the promise is a linear function
-//! of its load and of the processor time of each batch class beside it, with and without the
-//! load as a factor. Recursive least squares with forgetting fits it: old pairs fade, and the
-//! covariance says how far a prediction can be trusted. A logarithm, because slowdowns of
-//! several neighbours multiply and single tails are wild.
+//! For each service, the logarithm of the ratio of tail latency to latency target is modelled as a
+//! linear function of its load and of the CPU time of each batch class on the worker, with and
+//! without the load as a factor. Recursive least squares with forgetting fits the model: old pairs
+//! fade, and the covariance gives the uncertainty of a prediction. The logarithm is used because
+//! the slowdowns by several classes multiply and single tail latencies have outliers.
 
 use std::collections::BTreeMap;
 
-/// Classes told apart; the rest share the last place. Bounds the cost of an update.
+/// Number of classes with their own coefficients. Further classes share the last index. Bounds the
+/// cost of an update.
 pub const MAX_CLASSES: usize = 12;
 
 /// Features of one service: a constant, its load, and two for each class.
 const FEATURES: usize = 2 + 2 * MAX_CLASSES;
 
-/// Share of the past kept with each sample: 0.9995 fades a pair over 2,000 samples, which is a
-/// minute and a half of 25 workers that report once a second.
-const KEEP: f64 = 0.9995;
+/// Weight of the past after each sample. With 0.9995, a pair fades over 2,000 samples, which 25
+/// workers report in a minute and a half at one report per second.
+const FORGETTING_FACTOR: f64 = 0.9995;
 
-/// Uncertainty of a feature before any sample; also its bound, so that a pair that has not been
-/// seen for long does not make the fit unstable.
+/// Variance of a coefficient before any sample. It is also an upper bound, so that the fit stays
+/// stable if a pair is not observed for long.
 const PRIOR_VARIANCE: f64 = 0.25;
 
-/// Noise of one measurement, in squared logarithms (about 15%).
-const NOISE: f64 = 0.02;
+/// Variance of one measurement's logarithm, a standard deviation of about 15%.
+const MEASUREMENT_NOISE: f64 = 0.02;
 
-/// Assumed of a service without measurements: well below its promise.
-const UNKNOWN_PRESSURE: f64 = -1.0;
+/// Pressure assumed for a service without measurements: well below its latency target.
+const PRIOR_PRESSURE: f64 = -1.0;
 
-/// A prediction in logarithms of the ratio to the promise.
+/// A predicted difference of the logarithm of the tail latency.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Predicted {
-    /// Mean.
+pub struct Prediction {
     pub mean: f64,
     /// Standard deviation of the mean.
     pub deviation: f64,
 }
 
 #[derive(Clone, Debug)]
-struct Fit {
+struct LinearModel {
     weights: [f64; FEATURES],
     covariance: Vec<[f64; FEATURES]>,
 }
 
-impl Fit {
+impl LinearModel {
     fn new() -> Self {
         let mut covariance = vec![[0.0; FEATURES]; FEATURES];
         for (index, row) in covariance.iter_mut().enumerate() {
             row[index] = PRIOR_VARIANCE;
         }
         let mut weights = [0.0; FEATURES];
-        weights[0] = UNKNOWN_PRESSURE;
+        weights[0] = PRIOR_PRESSURE;
         covariance[0][0] = 1.0;
         Self { weights, covariance }
     }
 
-    fn spread(&self, features: &[f64; FEATURES]) -> [f64; FEATURES] {
+    fn covariance_product(&self, features: &[f64; FEATURES]) -> [f64; FEATURES] {
         let mut out = [0.0; FEATURES];
         for (out, row) in out.iter_mut().zip(&self.covariance) {
             *out = dot(row, features);
@@ -69,26 +69,26 @@
     }
 
     fn learn(&mut self, features: &[f64; FEATURES], value: f64) {
-        let spread = self.spread(features);
-        let scale = NOISE + dot(&spread, features);
+        let product = self.covariance_product(features);
+        let scale = MEASUREMENT_NOISE + dot(&product, features);
         let error = value - dot(&self.weights, features);
-        for (weight, spread) in self.weights.iter_mut().zip(&spread) {
-            *weight += spread / scale * error;
+        for (weight, product) in self.weights.iter_mut().zip(&product) {
+            *weight += product / scale * error;
         }
-        for (row, a) in self.covariance.iter_mut().zip(&spread) {
-            for (cell, b) in row.iter_mut().zip(&spread) {
+        for (row, a) in self.covariance.iter_mut().zip(&product) {
+            for (cell, b) in row.iter_mut().zip(&product) {
                 *cell -= a * b / scale;
             }
         }
         self.forget();
     }
 
-    /// Lets what was learned fade, up to the prior.
+    /// Increases the variances again so that old samples lose weight, up to the prior variance.
     fn forget(&mut self) {
         for index in 0..FEATURES {
-            if self.covariance[index][index] < PRIOR_VARIANCE * KEEP {
-                let grown = self.covariance[index][index] * (1.0 / KEEP - 1.0);
-                self.covariance[index][index] += grown;
+            if self.covariance[index][index] < PRIOR_VARIANCE * FORGETTING_FACTOR {
+                let growth = self.covariance[index][index] * (1.0 / FORGETTING_FACTOR - 1.0);
+                self.covariance[index][index] += growth;
             }
         }
     }
@@ -98,18 +98,18 @@
     a.iter().zip(b).map(|(a, b)| a * b).sum()
 }
 
-/// Processors used by each batch class on one worker.
+/// CPU use of each batch class on one worker, in cores.
 pub type ClassLoad = [f64; MAX_CLASSES];
 
-/// What is learned about all services.
+/// The models of all services.
 #[derive(Debug, Default)]
-pub struct Interference {
-    services: BTreeMap<String, Fit>,
+pub struct InterferenceModel {
+    services: BTreeMap<String, LinearModel>,
     classes: BTreeMap<String, usize>,
 }
 
-impl Interference {
-    /// The place of a class in a [`ClassLoad`].
+impl InterferenceModel {
+    /// The index of a class in a [`ClassLoad`], assigned at first use.
     pub fn class_index(&mut self, class: &str) -> usize {
         if let Some(index) = self.classes.get(class) {
             return *index;
@@ -119,42 +119,44 @@
         index
     }
 
-    /// The place of a class that was seen before.
+    /// The index of a class, if it has one.
     pub fn known_class(&self, class: &str) -> Option<usize> {
         self.classes.get(class).copied()
     }
 
-    /// Takes in a measurement of a service beside `classes`; `ratio` is its tail answer time over
-    /// the promise, `load` the processors that it used.
+    /// Learns from a measurement of a service on a worker with the batch load `classes`. `ratio` is
+    /// the tail latency divided by the latency target, and `load` is the service's CPU use in
+    /// cores.
     pub fn learn(&mut self, service: &str, load: f64, classes: &ClassLoad, ratio: f64) {
         if !self.services.contains_key(service) {
-            self.services.insert(service.to_owned(), Fit::new());
+            self.services.insert(service.to_owned(), LinearModel::new());
         }
-        if let Some(fit) = self.services.get_mut(service) {
-            fit.learn(&features(load, classes), ratio.max(0.01).ln());
+        if let Some(model) = self.services.get_mut(service) {
+            model.learn(&features(load, classes), ratio.max(0.01).ln());
         }
     }
 
-    /// Predicts the logarithm of a service's tail answer time over its promise beside `classes`.
+    /// Predicts the logarithm of the ratio of a service's tail latency to its latency target on a
+    /// worker with the batch load `classes`.
     pub fn predict(&self, service: &str, load: f64, classes: &ClassLoad) -> f64 {
         match self.services.get(service) {
-            Some(fit) => dot(&fit.weights, &features(load, classes)),
-            None => UNKNOWN_PRESSURE,
+            Some(model) => dot(&model.weights, &features(load, classes)),
+            None => PRIOR_PRESSURE,
         }
     }
 
-    /// By how much one processor of `class` raises the logarithm of the service's tail, and how
-    /// far that is known.
-    pub fn slowdown(&self, service: &str, load: f64, class: usize) -> Predicted {
-        let Some(fit) = self.services.get(service) else {
-            return Predicted { mean: 0.0, deviation: PRIOR_VARIANCE.sqrt() };
+    /// Predicted increase of the logarithm of the service's tail latency per core of `class`, with
+    /// its uncertainty.
+    pub fn slowdown(&self, service: &str, load: f64, class: usize) -> Prediction {
+        let Some(model) = self.services.get(service) else {
+            return Prediction { mean: 0.0, deviation: PRIOR_VARIANCE.sqrt() };
         };
-        let (flat, loaded) = (2 + 2 * class, 3 + 2 * class);
-        let variance = fit.covariance[flat][flat]
-            + 2.0 * load * fit.covariance[flat][loaded]
-            + load * load * fit.covariance[loaded][loaded];
-        Predicted {
-            mean: fit.weights[flat] + load * fit.weights[loaded],
+        let (base, by_load) = (2 + 2 * class, 3 + 2 * class);
+        let variance = model.covariance[base][base]
+            + 2.0 * load * model.covariance[base][by_load]
+            + load * load * model.covariance[by_load][by_load];
+        Prediction {
+            mean: model.weights[base] + load * model.weights[by_load],
             deviation: variance.max(0.0).sqrt(),
         }
     }
--- a/crates/agatesill_policy/src/batch/policy/mod.rs
+++ b/crates/agatesill_policy/src/batch/policy/mod.rs
@@ -1,22 +1,22 @@
-//! Decisions on a cell's ledger: what runs where, what is throttled, moved, held back or given up.
+//! The batch policy: placement, throttling, eviction, quarantine and failing of jobs.
 //!
-//! The policy's state is soft: it is rebuilt from the ledger after a takeover, and what was learned
-//! comes back with the workers' reports. Nothing here is needed to keep the ledger right.
+//! The policy's state is soft. After a takeover it is rebuilt from the ledger, and estimates are
+//! learned again from the workers' reports. The ledger stays correct without any of it.
 
+mod estimates;
 mod explain;
 mod failures;
+mod history;
 mod input;
 mod interference;
-mod learning;
-mod notes;
 mod observe;
-mod pace;
 mod placement;
 mod plan;
 mod plan_place;
 mod plan_protect;
 mod protection;
 mod queue;
+mod token_bucket;
 mod workers;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,17 +29,17 @@
     Attempt, AttemptOutcome, Cell, CellDelta, CellEffect, EvictReason, FailureKind, Job, TaskId,
     TaskState, WorkerId, WorkerState, split_task,
 };
-use failures::Failures;
-use interference::Interference;
-use learning::{Learning, class_of};
-use notes::{Note, Notes};
-use pace::Pace;
-use placement::NoPlace;
-use protection::Guards;
-use queue::{Lane, Queue};
-use workers::Workers;
+use estimates::{ClassEstimates, class_of};
+use failures::FailureTracker;
+use history::{History, HistoryEvent};
+use interference::InterferenceModel;
+use placement::PlacementError;
+use protection::MitigationStates;
+use queue::{PriorityTier, Queue};
+use token_bucket::TokenBucket;
+use workers::WorkerIndex;
 
-/// A live attempt, beyond what the ledger says.
+/// A live attempt, with the data that the ledger does not hold.
 #[derive(Clone, Debug)]
 struct Running {
     attempt: Attempt,
@@ -57,52 +57,52 @@
     team: Option<String>,
 }
 
-/// Live tasks of one job by place.
+/// Number of a job's live tasks per rack and per zone.
 #[derive(Clone, Debug, Default)]
 struct Spread {
     racks: Vec<(u32, u32)>,
     zones: Vec<(u32, u32)>,
 }
 
-/// A worker that is kept free for a task.
+/// A worker that is held for a waiting task. Only latency-critical tasks ignore the hold.
 #[derive(Clone, Copy, Debug)]
-struct Hold {
+struct WorkerHold {
     worker: WorkerId,
     since_ms: u64,
 }
 
-/// Learned state and proposals beside one [`Cell`].
+/// Learned state and planner of one [`Cell`].
 #[derive(Debug, Default)]
 pub struct BatchPolicy {
     config: BatchConfig,
     queue: Queue,
-    workers: Workers,
-    learning: Learning,
-    interference: Interference,
-    failures: Failures,
-    notes: Notes,
+    workers: WorkerIndex,
+    estimates: ClassEstimates,
+    interference: InterferenceModel,
+    failures: FailureTracker,
+    history: History,
     running: BTreeMap<TaskId, Running>,
     spread: BTreeMap<String, Spread>,
     evicted_ms: BTreeMap<TaskId, Vec<u64>>,
-    holds: BTreeMap<TaskId, Hold>,
-    waits: BTreeMap<String, NoPlace>,
-    guards: Guards,
+    holds: BTreeMap<TaskId, WorkerHold>,
+    waits: BTreeMap<String, PlacementError>,
+    mitigation_states: MitigationStates,
     at_risk: BTreeSet<WorkerId>,
     throttled: BTreeSet<TaskId>,
     draining: BTreeSet<WorkerId>,
     exploring_until_ms: BTreeMap<WorkerId, u64>,
-    unchecked: BTreeSet<String>,
+    jobs_to_check: BTreeSet<String>,
     parked: BTreeSet<String>,
     workers_changed: bool,
-    starts: Pace,
-    evictions: Pace,
+    starts: TokenBucket,
+    evictions: TokenBucket,
 }
 
 impl BatchPolicy {
-    /// Rebuilds what follows from the ledger, after a takeover.
+    /// Rebuilds the policy's state from the ledger after a takeover.
     ///
-    /// Times of starts and evictions are not in the ledger: live attempts count as started now,
-    /// and all evictions of a task as made now, so that no budget is exceeded by a takeover.
+    /// The ledger does not hold the times of starts and evictions. Live attempts count as started
+    /// now and all evictions of a task as made now, so that a takeover exceeds no budget.
     pub fn rebuild(&mut self, now_ms: u64, cell: &Cell) {
         *self = Self { config: std::mem::take(&mut self.config), ..Self::default() };
         for worker in cell.workers() {
@@ -135,12 +135,12 @@
                 self.evicted_ms.insert(job.task_id(index), evictions);
             }
             if let Some(worker) = task.state.worker() {
-                self.note_start(now_ms, job, index, task.attempt, worker);
+                self.record_start(now_ms, job, index, task.attempt, worker);
             }
         }
     }
 
-    /// Applies a committed delta to the ledger and notes what it teaches.
+    /// Applies a committed delta to the ledger and updates the policy's state.
     pub fn apply(&mut self, now_ms: u64, cell: &mut Cell, delta: &CellDelta) -> Vec<CellEffect> {
         let before = match delta {
             CellDelta::End { task, .. } | CellDelta::Evict { task, .. } => live_attempt(cell, task),
@@ -155,17 +155,17 @@
         let effects = cell.apply(delta);
         match delta {
             CellDelta::Accept { job, .. } | CellDelta::Import { job, .. } => {
-                self.accepted(now_ms, cell, &job.id);
+                self.job_accepted(now_ms, cell, &job.id);
             }
             CellDelta::Place { task, attempt, worker, .. } if !effects.is_empty() => {
                 self.placed(now_ms, cell, task, *attempt, *worker);
             }
             CellDelta::Evict { task, reason, .. } if !effects.is_empty() => {
-                self.evict_asked(now_ms, task, before, *reason);
+                self.eviction_requested(now_ms, task, before, *reason);
             }
             CellDelta::End { task, attempt, outcome } => {
                 self.ended(now_ms, cell, task, *attempt, before, outcome);
-                waiting.iter().for_each(|job| self.accepted(now_ms, cell, job));
+                waiting.iter().for_each(|job| self.job_accepted(now_ms, cell, job));
             }
             CellDelta::Park { job, .. } => {
                 self.queue.remove(job);
@@ -173,11 +173,11 @@
             }
             CellDelta::Unpark { job } => {
                 self.parked.remove(job);
-                self.accepted(now_ms, cell, job);
+                self.job_accepted(now_ms, cell, job);
             }
             CellDelta::Forward { job, .. } => self.queue.remove(job),
             CellDelta::Forget { job } => {
-                self.notes.forget(job);
+                self.history.forget(job);
                 self.waits.remove(job);
             }
             CellDelta::Quarantine { worker } | CellDelta::Release { worker } => {
@@ -189,65 +189,74 @@
         }
         for effect in &effects {
             if let CellEffect::JobClosed { job, .. } = effect {
-                self.closed(cell, job);
+                self.job_closed(cell, job);
             }
         }
         effects
     }
 
-    fn accepted(&mut self, now_ms: u64, cell: &Cell, id: &str) {
+    fn job_accepted(&mut self, now_ms: u64, cell: &Cell, id: &str) {
         if let Some(job) = cell.job(id) {
             self.enqueue(now_ms, job);
-            self.unchecked.insert(id.to_owned());
+            self.jobs_to_check.insert(id.to_owned());
         }
     }
 
     fn enqueue(&mut self, now_ms: u64, job: &Job) {
-        let run = self.learning.sure_run_ms(&job.spec);
-        self.queue.put(job, self.lane(job), run, now_ms);
+        let run = self.estimates.learned_run_ms(&job.spec);
+        self.queue.insert(job, self.tier(job), run, now_ms);
     }
 
-    fn lane(&self, job: &Job) -> Lane {
-        if self.config.critical.contains(&job.spec.profile) {
-            Lane::Critical
+    fn tier(&self, job: &Job) -> PriorityTier {
+        if self.config.critical_profiles.contains(&job.spec.profile) {
+            PriorityTier::Critical
         } else if job.spec.urgent {
-            Lane::Urgent
+            PriorityTier::Urgent
         } else {
-            Lane::Shared
+            PriorityTier::Shared
         }
     }
 
     fn placed(&mut self, now_ms: u64, cell: &Cell, task: &str, attempt: Attempt, worker: WorkerId) {
         let Some((job, index)) = cell.locate(task) else { return };
-        self.queue.take(&job.spec.id, index as u32);
+        self.queue.remove_task(&job.spec.id, index as u32);
         self.release_hold(task);
         self.waits.remove(&job.spec.id);
         self.sync_worker(cell, worker);
         self.workers.count_start(worker, now_ms);
-        self.note_start(now_ms, job, index, attempt, worker);
-        let note = Note::Placed { task: index as u32, attempt, worker };
-        self.notes.add(now_ms, &job.spec.id, note);
+        self.record_start(now_ms, job, index, attempt, worker);
+        let event = HistoryEvent::Placed { task: index as u32, attempt, worker };
+        self.history.add(now_ms, &job.spec.id, event);
     }
 
-    /// Books a live attempt: its class on the worker, its place and its team's account.
-    fn note_start(&mut self, now_ms: u64, job: &Job, index: usize, attempt: Attempt, on: WorkerId) {
+    /// Records a live attempt: its class's load on the worker, its rack and zone, and its team's
+    /// usage.
+    fn record_start(
+        &mut self,
+        now_ms: u64,
+        job: &Job,
+        index: usize,
+        attempt: Attempt,
+        worker_id: WorkerId,
+    ) {
         let view = &job.tasks[index];
         let spec = &job.spec;
-        let lane = self.lane(job);
-        let class = (lane != Lane::Critical).then(|| self.interference.class_index(class_of(spec)));
-        let cpus = self.learning.cpus(spec).min(view.reserved.cpu_milli as f64 / 1_000.0);
+        let tier = self.tier(job);
+        let class =
+            (tier != PriorityTier::Critical).then(|| self.interference.class_index(class_of(spec)));
+        let cpus = self.estimates.cpus(spec).min(view.reserved.cpu_milli as f64 / 1_000.0);
         if let Some(class) = class {
-            self.workers.add_class(on, class, cpus);
+            self.workers.add_class(worker_id, class, cpus);
         }
         let expected_ms =
-            self.learning.run_ms(spec).saturating_sub(view.checkpoint_ms).max(MIN_EXPECTED_MS);
+            self.estimates.run_ms(spec).saturating_sub(view.checkpoint_ms).max(MIN_EXPECTED_MS);
         let cpu_milli = view.reserved.cpu_milli;
-        let team = (lane != Lane::Critical).then(|| spec.team.clone());
+        let team = (tier != PriorityTier::Critical).then(|| spec.team.clone());
         if let Some(team) = &team {
             let cost = cpu_milli as f64 * expected_ms as f64 / self.config.weight(team);
-            self.queue.charge(team, cpu_milli, cost, now_ms);
+            self.queue.add_usage(team, cpu_milli, cost, now_ms);
         }
-        let place = self.workers.load(on).map(|load| (load.rack, load.zone));
+        let place = self.workers.load(worker_id).map(|load| (load.rack, load.zone));
         if let Some((rack, zone)) = place {
             let spread = self.spread.entry(spec.id.clone()).or_default();
             count(&mut spread.racks, rack, 1);
@@ -255,7 +264,7 @@
         }
         let running = Running {
             attempt,
-            worker: on,
+            worker: worker_id,
             class,
             cpus,
             cpu_milli,
@@ -271,7 +280,7 @@
         self.running.insert(job.task_id(index), running);
     }
 
-    fn evict_asked(
+    fn eviction_requested(
         &mut self,
         now_ms: u64,
         task: &str,
@@ -280,7 +289,11 @@
     ) {
         self.evicted_ms.entry(task.to_owned()).or_default().push(now_ms);
         if let (Some((job, index)), Some((_, worker))) = (split_task(task), live) {
-            self.notes.add(now_ms, job, Note::Evicted { task: index as u32, worker, reason });
+            self.history.add(
+                now_ms,
+                job,
+                HistoryEvent::Evicted { task: index as u32, worker, reason },
+            );
         }
     }
 
@@ -295,34 +308,35 @@
     ) {
         let Some((job, index)) = cell.locate(task) else { return };
         if job.tasks[index].state.is_closed() {
-            self.queue.take(&job.spec.id, index as u32);
+            self.queue.remove_task(&job.spec.id, index as u32);
             self.evicted_ms.remove(task);
             self.release_hold(task);
         }
         let Some((_, worker)) = before.filter(|(live, _)| *live == attempt) else { return };
         let Some(running) = self.running.remove(task) else { return };
-        self.free(cell, job, &running, now_ms);
+        self.release_attempt(cell, job, &running, now_ms);
         self.throttled.remove(task);
         if *outcome != AttemptOutcome::Done {
-            let note = Note::Ended { task: index as u32, worker, outcome: outcome.clone() };
-            self.notes.add(now_ms, &job.spec.id, note);
+            let event =
+                HistoryEvent::Ended { task: index as u32, worker, outcome: outcome.clone() };
+            self.history.add(now_ms, &job.spec.id, event);
         }
-        let delay_ms = self.learn_end(now_ms, cell, job, index, &running, outcome);
+        let delay_ms = self.record_outcome(now_ms, cell, job, index, &running, outcome);
         if matches!(job.tasks[index].state, TaskState::Waiting { .. }) {
             if delay_ms > 0 {
                 self.queue.delay(task.to_owned(), now_ms + delay_ms);
             } else {
-                let run = self.learning.sure_run_ms(&job.spec);
-                self.queue.put_back(job, self.lane(job), index as u32, run, now_ms);
+                let run = self.estimates.learned_run_ms(&job.spec);
+                self.queue.requeue(job, self.tier(job), index as u32, run, now_ms);
             }
         }
     }
 
-    /// Takes an ended attempt off its worker, its places and its team's account.
-    fn free(&mut self, cell: &Cell, job: &Job, running: &Running, now_ms: u64) {
+    /// Removes an ended attempt from its worker's load, its rack and zone, and its team's usage.
+    fn release_attempt(&mut self, cell: &Cell, job: &Job, running: &Running, now_ms: u64) {
         if let Some(class) = running.class {
-            let kept = running.cpus * f64::from(running.percent) / 100.0;
-            self.workers.add_class(running.worker, class, -kept);
+            let current_cpus = running.cpus * f64::from(running.percent) / 100.0;
+            self.workers.add_class(running.worker, class, -current_cpus);
         }
         self.sync_worker(cell, running.worker);
         let place = self.workers.load(running.worker).map(|load| (load.rack, load.zone));
@@ -335,14 +349,15 @@
         }
         if let Some(team) = &running.team {
             let ran_ms = now_ms.saturating_sub(running.started_ms) as f64;
-            let wrong_ms = ran_ms - running.expected_ms as f64;
-            let correction = running.cpu_milli as f64 * wrong_ms / self.config.weight(team);
-            self.queue.settle(team, running.cpu_milli, correction);
+            let error_ms = ran_ms - running.expected_ms as f64;
+            let correction = running.cpu_milli as f64 * error_ms / self.config.weight(team);
+            self.queue.settle_usage(team, running.cpu_milli, correction);
         }
     }
 
-    /// Learns from an end; returns how long the task has to wait before its next attempt.
-    fn learn_end(
+    /// Learns from the end of an attempt. Returns the delay in milliseconds before the task's next
+    /// attempt.
+    fn record_outcome(
         &mut self,
         now_ms: u64,
         cell: &Cell,
@@ -356,7 +371,7 @@
             AttemptOutcome::Done => {
                 self.failures.succeeded(id, running.worker);
                 let run_ms = running.checkpoint_ms + now_ms.saturating_sub(running.started_ms);
-                if self.learning.finished(now_ms, &job.spec, run_ms) {
+                if self.estimates.finished(now_ms, &job.spec, run_ms) {
                     self.reorder(now_ms, cell, class_of(&job.spec));
                 }
                 0
@@ -365,7 +380,7 @@
                 let task = &job.tasks[index];
                 let overruns = task.overruns;
                 if *kind == FailureKind::MemoryOverrun {
-                    self.learning.overran(&job.spec, running.memory_mb);
+                    self.estimates.record_overrun(&job.spec, running.memory_mb);
                 }
                 self.failures.failed(id, running.worker, *kind, task.failures, overruns)
             }
@@ -374,14 +389,14 @@
         }
     }
 
-    /// Orders the waiting jobs of a class anew after its run time was learned to be different.
+    /// Reorders the waiting jobs of a class after its estimated run time changed.
     fn reorder(&mut self, now_ms: u64, cell: &Cell, class: &str) {
         let of_class = |(id, _): (&str, _)| {
             cell.job(id).filter(|job| class_of(&job.spec) == class).map(|_| id.to_owned())
         };
         let ids: Vec<String> = self.queue.jobs().filter_map(of_class).collect();
         for job in ids.iter().filter_map(|id| cell.job(id)) {
-            let run = self.learning.sure_run_ms(&job.spec);
+            let run = self.estimates.learned_run_ms(&job.spec);
             self.queue.reorder(job, run, now_ms);
         }
     }
@@ -404,12 +419,12 @@
         }
     }
 
-    fn closed(&mut self, cell: &Cell, id: &str) {
+    fn job_closed(&mut self, cell: &Cell, id: &str) {
         self.queue.remove(id);
-        self.failures.closed(id);
+        self.failures.job_closed(id);
         self.waits.remove(id);
         self.parked.remove(id);
-        self.unchecked.remove(id);
+        self.jobs_to_check.remove(id);
         if let Some(job) = cell.job(id) {
             for index in 0..job.tasks.len() {
                 let task = job.task_id(index);
@@ -428,7 +443,8 @@
     }
 }
 
-/// Least run time that a start is charged with, however wrong its class's estimate.
+/// Minimum run time that is added to a team's usage at a start, however wrong the estimate of its
+/// class is.
 const MIN_EXPECTED_MS: u64 = 500;
 
 fn live_attempt(cell: &Cell, task: &str) -> Option<(Attempt, WorkerId)> {
--- a/crates/agatesill_policy/src/batch/policy/plan.rs
+++ b/crates/agatesill_policy/src/batch/policy/plan.rs
@@ -1,14 +1,14 @@
-//! One round of proposals.
+//! One planning round.
 
 use super::super::{Cell, CellDelta, JobSpec, Resources, TaskState};
-use super::failures::Verdict;
+use super::failures::HealthAction;
 use super::{BatchConfig, BatchPolicy, Plan};
 
 impl BatchPolicy {
-    /// Proposes changes to be committed, and throttles, which need no commit.
+    /// Proposes deltas to commit, and throttles, which need no commit.
     ///
-    /// Placements and evictions that are not committed are made again: only
-    /// [`BatchPolicy::apply`] counts them. Quarantines, releases and jobs given up are proposed
+    /// Placements and evictions that are not committed are proposed again, since only
+    /// [`BatchPolicy::apply`] records them. Quarantines, releases and failed jobs are proposed
     /// once, so a caller whose commit failed keeps its deltas and commits them later.
     pub fn plan(&mut self, now_ms: u64, cell: &Cell, config: &BatchConfig) -> Plan {
         self.workers.undo(cell);
@@ -17,19 +17,20 @@
         }
         let mut plan = Plan::default();
         self.return_delayed(now_ms, cell);
-        self.judge_failures(now_ms, cell, &mut plan);
+        self.evaluate_failures(now_ms, cell, &mut plan);
         self.check_fit(cell, &mut plan);
         self.protect(now_ms, cell, &mut plan);
         self.place(now_ms, cell, &mut plan);
         plan
     }
 
-    /// Takes a new configuration; lanes follow from its profiles, so the queue is built anew.
+    /// Applies a new configuration. Priority tiers depend on its profiles, so the queue is rebuilt
+    /// when these change.
     fn set_config(&mut self, now_ms: u64, cell: &Cell, config: &BatchConfig) {
-        let lanes_changed = self.config.critical != config.critical;
+        let tiers_changed = self.config.critical_profiles != config.critical_profiles;
         self.config = config.clone();
         self.workers.set_closed_zones(&config.closed_zones, cell);
-        if lanes_changed {
+        if tiers_changed {
             for job in cell.jobs() {
                 self.enqueue(now_ms, job);
             }
@@ -37,40 +38,41 @@
     }
 
     fn return_delayed(&mut self, now_ms: u64, cell: &Cell) {
-        for task in self.queue.due(now_ms) {
+        for task in self.queue.take_due_delays(now_ms) {
             let Some((job, index)) = cell.locate(&task) else { continue };
             if matches!(job.tasks[index].state, TaskState::Waiting { .. }) {
-                let run = self.learning.sure_run_ms(&job.spec);
-                self.queue.put_back(job, self.lane(job), index as u32, run, now_ms);
+                let run = self.estimates.learned_run_ms(&job.spec);
+                self.queue.requeue(job, self.tier(job), index as u32, run, now_ms);
             }
         }
     }
 
-    fn judge_failures(&mut self, now_ms: u64, cell: &Cell, plan: &mut Plan) {
-        let floor = cell.workers().len();
-        let verdicts = self.failures.judge(now_ms, floor);
-        // A placement on a worker or of a job that the same round closes would be refused.
-        for verdict in &verdicts {
-            match verdict {
-                Verdict::Quarantine(worker) => self.workers.close(*worker),
-                Verdict::GiveUp(job, _) => self.queue.remove(job),
-                Verdict::Release(_) => {}
+    fn evaluate_failures(&mut self, now_ms: u64, cell: &Cell, plan: &mut Plan) {
+        let worker_count = cell.workers().len();
+        let actions = self.failures.evaluate(now_ms, worker_count);
+        // The ledger would refuse a placement on a worker that is quarantined in this round, or of
+        // a job that fails in it.
+        for action in &actions {
+            match action {
+                HealthAction::Quarantine(worker) => self.workers.exclude(*worker),
+                HealthAction::FailJob(job, _) => self.queue.remove(job),
+                HealthAction::Release(_) => {}
             }
         }
-        plan.deltas.extend(verdicts.into_iter().map(|verdict| match verdict {
-            Verdict::Quarantine(worker) => CellDelta::Quarantine { worker },
-            Verdict::Release(worker) => CellDelta::Release { worker },
-            Verdict::GiveUp(job, reason) => CellDelta::Fail { job, reason },
+        plan.deltas.extend(actions.into_iter().map(|action| match action {
+            HealthAction::Quarantine(worker) => CellDelta::Quarantine { worker },
+            HealthAction::Release(worker) => CellDelta::Release { worker },
+            HealthAction::FailJob(job, reason) => CellDelta::Fail { job, reason },
         }));
     }
 
-    /// Parks jobs that no worker can hold, and takes them up again when workers have changed.
+    /// Parks jobs that fit on no worker, and unparks them once a changed worker can hold them.
     fn check_fit(&mut self, cell: &Cell, plan: &mut Plan) {
         if std::mem::take(&mut self.workers_changed) {
-            self.unchecked.extend(self.queue.jobs().map(|(id, _)| id.to_owned()));
-            self.unchecked.extend(self.parked.iter().cloned());
+            self.jobs_to_check.extend(self.queue.jobs().map(|(id, _)| id.to_owned()));
+            self.jobs_to_check.extend(self.parked.iter().cloned());
         }
-        for id in std::mem::take(&mut self.unchecked) {
+        for id in std::mem::take(&mut self.jobs_to_check) {
             let Some(job) = cell.job(&id).filter(|job| job.outcome.is_none()) else { continue };
             match (cell.impossible_now(&job.spec), &job.parked) {
                 (Some(reason), None) => {
@@ -83,9 +85,10 @@
         }
     }
 
-    /// Amounts to reserve for a task: as learned, unless no worker could hold that.
+    /// Resources to reserve for a task: the learned size, or the declared one if no worker could
+    /// hold the learned size.
     pub(super) fn reserve(&self, cell: &Cell, spec: &JobSpec, overruns: u32) -> Resources {
-        let reserve = self.learning.reserve(spec, overruns);
-        if cell.holds_somewhere(&reserve) { reserve } else { spec.need }
+        let reserve = self.estimates.reserve(spec, overruns);
+        if cell.fits_active_worker(&reserve) { reserve } else { spec.need }
     }
 }
--- a/crates/agatesill_policy/src/batch/policy/plan_protect.rs
+++ b/crates/agatesill_policy/src/batch/policy/plan_protect.rs
@@ -1,32 +1,33 @@
-//! Relief of workers whose services are at risk, and the way back to calm.
+//! Mitigation of workers whose services are at risk, lifting of throttles, and draining of workers.
 
 use super::super::{Cell, CellDelta, EvictReason, Job, TaskState, WorkerId};
 use super::protection::{
-    AT_RISK, CALM, CALM_MS, EVICTION_BURST, EVICTIONS_PER_WORKER_S, PRESSURE_AFTER_LIFT, Relief,
-    Suspect, THROTTLED_MS, is_settled, relieve,
+    AT_RISK_PRESSURE, EVICTION_BURST, LIFT_THROTTLE_PRESSURE, MAX_EVICTIONS_PER_WORKER_S,
+    MAX_PRESSURE_AFTER_LIFT, MAX_THROTTLE_MS, MIN_THROTTLE_MS, Mitigation, MitigationCandidate,
+    choose_mitigations, is_effect_measured,
 };
-use super::{BatchPolicy, Lane, Note, Plan, Throttle, split_task};
+use super::{BatchPolicy, HistoryEvent, Plan, PriorityTier, Throttle, split_task};
 
-/// Time over which a profile's eviction budget counts.
-const BUDGET_MS: u64 = 3_600_000;
+/// Time window of a profile's eviction budget.
+const EVICTION_BUDGET_WINDOW_MS: u64 = 3_600_000;
 
-/// Least time between two evictions of one task, so that it gets some work done in between.
-const EVICTION_GAP_MS: u64 = 30_000;
+/// Minimum time between two evictions of one task, so that it makes progress in between.
+const MIN_EVICTION_INTERVAL_MS: u64 = 30_000;
 
 impl BatchPolicy {
     pub(super) fn protect(&mut self, now_ms: u64, cell: &Cell, plan: &mut Plan) {
-        let rate = EVICTIONS_PER_WORKER_S * self.workers.open_count() as f64;
+        let rate = MAX_EVICTIONS_PER_WORKER_S * self.workers.schedulable_count() as f64;
         let mut evictions = self.evictions.refill(now_ms, rate, EVICTION_BURST);
-        let at_hand = evictions;
+        let available = evictions;
         for worker in self.at_risk.clone() {
-            self.relieve_worker(now_ms, cell, worker, &mut evictions, plan);
+            self.mitigate_worker(now_ms, cell, worker, &mut evictions, plan);
         }
         self.lift_throttles(now_ms, cell, &mut evictions, plan);
         self.drain(now_ms, cell, &mut evictions, plan);
-        self.evictions.spend(at_hand - evictions);
+        self.evictions.spend(available - evictions);
     }
 
-    fn relieve_worker(
+    fn mitigate_worker(
         &mut self,
         now_ms: u64,
         cell: &Cell,
@@ -35,21 +36,21 @@
         plan: &mut Plan,
     ) {
         let Some(load) = self.workers.load(worker) else { return };
-        let guard = self.guards.get(&worker).copied().unwrap_or_default();
-        if !is_settled(&guard, load.measured_ms) {
+        let state = self.mitigation_states.get(&worker).copied().unwrap_or_default();
+        if !is_effect_measured(&state, load.measured_ms) {
             return;
         }
         let pressure = load.worst_pressure();
-        let mut suspects = self.suspects(now_ms, cell, worker);
-        let reliefs = relieve(pressure, &mut suspects, *evictions);
-        if reliefs.is_empty() {
+        let mut candidates = self.candidates(now_ms, cell, worker);
+        let mitigations = choose_mitigations(pressure, &mut candidates, *evictions);
+        if mitigations.is_empty() {
             return;
         }
-        self.guards.entry(worker).or_default().acted_ms = now_ms;
-        for relief in reliefs {
-            match relief {
-                Relief::Throttle(task, percent) => self.throttle(now_ms, &task, percent, plan),
-                Relief::Evict(task, reason) => {
+        self.mitigation_states.entry(worker).or_default().last_action_ms = now_ms;
+        for mitigation in mitigations {
+            match mitigation {
+                Mitigation::Throttle(task, percent) => self.throttle(now_ms, &task, percent, plan),
+                Mitigation::Evict(task, reason) => {
                     *evictions -= 1;
                     self.propose_eviction(&task, reason, plan);
                 }
@@ -80,37 +81,37 @@
         }
         plan.throttles.push(Throttle { worker, task: task.to_owned(), attempt, percent });
         if let Some((job, index)) = split_task(task) {
-            self.notes.add(now_ms, job, Note::Throttled { task: index as u32, percent });
+            self.history.add(now_ms, job, HistoryEvent::Throttled { task: index as u32, percent });
         }
     }
 
-    /// The worker's batch tasks that could be throttled or moved.
-    fn suspects(&self, now_ms: u64, cell: &Cell, worker: WorkerId) -> Vec<Suspect> {
-        let Some(on) = cell.worker(worker) else { return Vec::new() };
-        let suspect = |task: &String| {
+    /// The worker's batch tasks that could be throttled or evicted.
+    fn candidates(&self, now_ms: u64, cell: &Cell, worker: WorkerId) -> Vec<MitigationCandidate> {
+        let Some(ledger_worker) = cell.worker(worker) else { return Vec::new() };
+        let candidate = |task: &String| {
             let (job, index) = cell.locate(task)?;
             let running = self.running.get(task)?;
             if !matches!(job.tasks[index].state, TaskState::Placed { .. }) {
                 return None;
             }
             let class = running.class?;
-            Some(Suspect {
+            Some(MitigationCandidate {
                 task: task.clone(),
                 contribution: self.contribution(worker, class) * running.cpus,
                 percent: running.percent,
                 throttle_percent: self.config.throttle_percent(&job.spec.profile),
                 may_evict: self.may_evict(job, task, now_ms),
                 lost_ms: self.lost_ms(task),
-                left_ms: self.left_ms(task, now_ms),
+                remaining_ms: self.remaining_ms(task, now_ms),
             })
         };
-        on.live.iter().filter_map(suspect).collect()
+        ledger_worker.live.iter().filter_map(candidate).collect()
     }
 
-    /// How much one processor of a class raises the worst service of a worker.
+    /// Highest pressure that one core of a class adds to a service at risk on the worker.
     fn contribution(&self, worker: WorkerId, class: usize) -> f64 {
         let Some(load) = self.workers.load(worker) else { return 0.0 };
-        let at_risk = load.services.iter().filter(|service| service.pressure > AT_RISK);
+        let at_risk = load.services.iter().filter(|service| service.pressure > AT_RISK_PRESSURE);
         at_risk
             .map(|service| self.interference.slowdown(&service.service, service.load, class).mean)
             .fold(0.0, f64::max)
@@ -121,45 +122,47 @@
         let Some(evicted_ms) = self.evicted_ms.get(task) else {
             return self.config.evictions_per_hour(&job.spec.profile) > 0;
         };
-        let lately = evicted_ms.iter().filter(|at_ms| **at_ms + BUDGET_MS > now_ms).count();
-        lately < self.config.evictions_per_hour(&job.spec.profile)
-            && evicted_ms.iter().all(|at_ms| *at_ms + EVICTION_GAP_MS <= now_ms)
+        let recent =
+            evicted_ms.iter().filter(|at_ms| **at_ms + EVICTION_BUDGET_WINDOW_MS > now_ms).count();
+        recent < self.config.evictions_per_hour(&job.spec.profile)
+            && evicted_ms.iter().all(|at_ms| *at_ms + MIN_EVICTION_INTERVAL_MS <= now_ms)
     }
 
-    /// Work that an eviction may lose: all since the last checkpoint, were the new one to fail.
-    /// One part in ten of it stands for that risk.
+    /// Expected work lost by an eviction. All progress since the last checkpoint would be lost if
+    /// the checkpoint of the eviction failed; a tenth of it accounts for that risk.
     pub(super) fn lost_ms(&self, task: &str) -> u64 {
         self.running
             .get(task)
             .map_or(0, |running| running.progress_ms.saturating_sub(running.checkpoint_ms) / 10)
     }
 
-    fn left_ms(&self, task: &str, now_ms: u64) -> u64 {
+    fn remaining_ms(&self, task: &str, now_ms: u64) -> u64 {
         self.running.get(task).map_or(0, |running| {
             let ran_ms = now_ms.saturating_sub(running.started_ms);
             running.expected_ms.saturating_sub(ran_ms)
         })
     }
 
-    /// Lifts throttles where the worker is calm and stays so by the model, and moves tasks that
-    /// have been throttled for long.
+    /// Lifts throttles on workers whose pressure is low and stays low by the model, and evicts
+    /// tasks that have been throttled for long.
     fn lift_throttles(&mut self, now_ms: u64, cell: &Cell, evictions: &mut usize, plan: &mut Plan) {
         let mut lifted = std::collections::BTreeSet::new();
         for task in self.throttled.clone() {
             let Some(running) = self.running.get(&task) else { continue };
             let (worker, class) = (running.worker, running.class.unwrap_or_default());
             let added = running.cpus * f64::from(100 - running.percent) / 100.0;
-            let since_ms = now_ms.saturating_sub(running.throttled_ms);
+            let throttled_for_ms = now_ms.saturating_sub(running.throttled_ms);
             let Some(load) = self.workers.load(worker) else { continue };
-            let settled = load.measured_ms >= running.throttled_ms + CALM_MS;
-            let stays_calm = load.services.iter().all(|service| {
-                let one = self.interference.slowdown(&service.service, service.load, class);
-                let rise = one.mean.max(0.0) * added;
-                service.pressure < CALM && service.pressure + rise < PRESSURE_AFTER_LIFT
+            let settled = load.measured_ms >= running.throttled_ms + MIN_THROTTLE_MS;
+            let may_lift = load.services.iter().all(|service| {
+                let slowdown = self.interference.slowdown(&service.service, service.load, class);
+                let rise = slowdown.mean.max(0.0) * added;
+                service.pressure < LIFT_THROTTLE_PRESSURE
+                    && service.pressure + rise < MAX_PRESSURE_AFTER_LIFT
             });
-            if settled && stays_calm && lifted.insert(worker) {
+            if settled && may_lift && lifted.insert(worker) {
                 self.throttle(now_ms, &task, 100, plan);
-            } else if since_ms > THROTTLED_MS && *evictions > 0 && !stays_calm {
+            } else if throttled_for_ms > MAX_THROTTLE_MS && *evictions > 0 && !may_lift {
                 self.move_throttled(now_ms, cell, &task, evictions, plan);
             }
         }
@@ -181,15 +184,16 @@
         }
     }
 
-    /// Moves the tasks of workers that are leaving, at the pace of evictions.
+    /// Evicts the tasks of leaving workers, within the eviction rate.
     fn drain(&mut self, now_ms: u64, cell: &Cell, evictions: &mut usize, plan: &mut Plan) {
         for worker in &self.draining {
-            let Some(on) = cell.worker(*worker) else { continue };
-            for task in &on.live {
+            let Some(ledger_worker) = cell.worker(*worker) else { continue };
+            for task in &ledger_worker.live {
                 let Some((job, index)) = cell.locate(task) else { continue };
                 let placed = matches!(job.tasks[index].state, TaskState::Placed { .. });
-                let moves = self.lane(job) == Lane::Critical || self.may_evict(job, task, now_ms);
-                if placed && moves && *evictions > 0 {
+                let may_move =
+                    self.tier(job) == PriorityTier::Critical || self.may_evict(job, task, now_ms);
+                if placed && may_move && *evictions > 0 {
                     *evictions -= 1;
                     self.propose_eviction(task, EvictReason::Drain, plan);
                 }
--- a/crates/agatesill_policy/src/batch/policy/protection.rs
+++ b/crates/agatesill_policy/src/batch/policy/protection.rs
@@ -1,129 +1,140 @@
-//! Keeping a service's promise against the batch tasks beside it.
+//! Protection of a service's latency target against the batch tasks on the same worker.
 //!
-//! Load pattern: a service's load rises, or a noisy task lands beside it, and the worker's
-//! measurement shows it seconds later. Without it the promise stays missed until the task ends;
-//! evicting the newest task instead hits whatever came last. docs/BATCH.md gives the figures of
-//! `noisy-neighbour`.
+//! A service's load can rise, or a task with high interference can start on its worker, and the
+//! worker's measurement shows it only seconds later. Without mitigation, the target is missed until
+//! the task ends. Evicting the newest task instead would hit whichever task came last.
+//! docs/BATCH.md has the results of the `noisy-neighbour` benchmark.
 //!
-//! First the tasks that hurt most are throttled, which costs no progress and needs no commit.
-//! When a measurement taken after that still shows the promise missed, the task whose removal
-//! helps most per lost work is saved and evicted, within its profile's budget.
+//! The tasks with the largest contribution are throttled first, which loses no progress and needs
+//! no commit. If a measurement taken after that still misses the target, the task whose removal
+//! helps most per lost work is checkpointed and evicted, within the eviction budget of its profile.
 
 use super::super::{EvictReason, TaskId, WorkerId};
 
-/// Tail, as a logarithm of its ratio to the promise, from which a worker is relieved: 0.95 of
-/// the promise, since the measurement is seconds old when it is seen.
-pub const AT_RISK: f64 = -0.05;
+/// Pressure above which a worker is mitigated: a tail latency of 0.95 of the target, because a
+/// measurement is seconds old when it arrives. Pressure is the natural logarithm of the ratio of
+/// tail latency to target.
+pub const AT_RISK_PRESSURE: f64 = -0.05;
 
-/// Tail that relief aims for: 0.8 of the promise.
-pub const RELIEVED: f64 = -0.22;
+/// Pressure that a mitigation aims for: 0.8 of the target.
+pub const TARGET_PRESSURE: f64 = -0.22;
 
-/// Tail below which a throttle may be lifted: 0.7 of the promise. The gap to `AT_RISK` is the
-/// hysteresis: with less, a throttle that works lifts itself.
-pub const CALM: f64 = -0.36;
+/// Pressure below which a throttle may be lifted: 0.7 of the target. The gap to
+/// [`AT_RISK_PRESSURE`] is the hysteresis; with a smaller gap, the effect of a throttle would lift
+/// the throttle itself.
+pub const LIFT_THROTTLE_PRESSURE: f64 = -0.36;
 
-/// A measurement counts as taken after an action when it is this much younger: the time a
-/// throttle or stop takes to arrive and to show in a tail.
-pub const EFFECT_MS: u64 = 1_500;
+/// Minimum time between an action and a measurement that shows its effect. A throttle or stop takes
+/// this long to reach the worker and to affect the tail latency.
+pub const EFFECT_DELAY_MS: u64 = 1_500;
 
-/// Highest tail that lifting a throttle may bring about by the model: 0.85 of the promise.
-pub const PRESSURE_AFTER_LIFT: f64 = -0.16;
+/// Maximum pressure predicted by the model after a throttle is lifted: 0.85 of the target.
+pub const MAX_PRESSURE_AFTER_LIFT: f64 = -0.16;
 
-/// Least time between relief and lifting a throttle.
-pub const CALM_MS: u64 = 8_000;
+/// Minimum time between a throttle and a measurement that may lift it.
+pub const MIN_THROTTLE_MS: u64 = 8_000;
 
-/// Time after which a task that is still throttled is moved, since its room earns little.
-pub const THROTTLED_MS: u64 = 15_000;
+/// Time after which a task that is still throttled is moved, since it makes little use of its
+/// reservation.
+pub const MAX_THROTTLE_MS: u64 = 15_000;
 
-/// Cost of an eviction beyond its lost progress: saving, starting and warming up elsewhere.
-pub const RESTART_MS: u64 = 3_000;
+/// Cost of an eviction in addition to the lost progress: the checkpoint, the start on another
+/// worker and the warm-up.
+pub const RESTART_COST_MS: u64 = 3_000;
 
-/// A task this close to its end is not worth moving.
-pub const NEARLY_DONE_MS: u64 = 4_000;
+/// Minimum remaining run time for an eviction. A task closer to its end is not worth moving.
+pub const MIN_REMAINING_MS: u64 = 4_000;
 
-/// Evictions a second over the cell, as a share of its open workers, and the burst: a wave that
-/// hits every worker at once takes over ten seconds to evict one task from each.
-pub const EVICTIONS_PER_WORKER_S: f64 = 0.08;
+/// Maximum evictions per second in the cell, per schedulable worker. With the burst, an overload of
+/// all workers at once takes over ten seconds to evict one task from each.
+pub const MAX_EVICTIONS_PER_WORKER_S: f64 = 0.08;
 
-/// Most evictions at one time.
+/// Maximum number of evictions at one time.
 pub const EVICTION_BURST: f64 = 4.0;
 
-/// Least contribution, in logarithms, for which a task is thought to be the cause.
-const LEAST_CONTRIBUTION: f64 = 0.01;
+/// Minimum contribution to the pressure for which a task is considered a cause.
+const MIN_CONTRIBUTION: f64 = 0.01;
 
-/// A batch attempt beside a service at risk.
+/// A batch attempt on the worker of a service at risk.
 #[derive(Clone, Debug)]
-pub struct Suspect {
-    /// The task.
+pub struct MitigationCandidate {
     pub task: TaskId,
-    /// How much its presence raises the logarithm of the tail, unthrottled.
+    /// Pressure that the attempt adds when it is not throttled.
     pub contribution: f64,
-    /// Share of processor time that it has now.
+    /// Its current share of CPU time, in percent.
     pub percent: u32,
-    /// Share that its profile leaves it when throttled.
+    /// Share of CPU time that its profile leaves it when throttled, in percent.
     pub throttle_percent: u32,
     /// Whether its profile allows an eviction now.
     pub may_evict: bool,
-    /// Work that an eviction loses.
+    /// Estimated work that an eviction loses.
     pub lost_ms: u64,
-    /// Run time likely left.
-    pub left_ms: u64,
+    /// Estimated remaining run time.
+    pub remaining_ms: u64,
 }
 
-/// What to do about one task.
+/// An action on one task.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Relief {
-    /// Set its share of processor time.
+pub enum Mitigation {
+    /// Sets its share of CPU time, in percent.
     Throttle(TaskId, u32),
-    /// Save and move it.
+    /// Checkpoints and evicts it.
     Evict(TaskId, EvictReason),
 }
 
-/// What is remembered of one worker.
+/// State of the mitigations on one worker.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Guard {
-    /// Time of the newest action.
-    pub acted_ms: u64,
+pub struct MitigationState {
+    /// Time of the newest action; 0 before the first.
+    pub last_action_ms: u64,
 }
 
 /// Whether the worker's newest measurement shows the effect of the newest action.
-pub fn is_settled(guard: &Guard, measured_ms: u64) -> bool {
-    guard.acted_ms == 0 || measured_ms >= guard.acted_ms + EFFECT_MS
+pub fn is_effect_measured(state: &MitigationState, measured_ms: u64) -> bool {
+    state.last_action_ms == 0 || measured_ms >= state.last_action_ms + EFFECT_DELAY_MS
 }
 
-/// Chooses what relieves a worker whose worst service stands at `pressure`; `evictions` bounds
-/// how many tasks may be evicted.
-pub fn relieve(pressure: f64, suspects: &mut [Suspect], evictions: usize) -> Vec<Relief> {
-    let mut wanted = pressure - RELIEVED;
-    let mut out = Vec::new();
-    suspects.sort_by(|a, b| b.contribution.total_cmp(&a.contribution));
-    for suspect in suspects.iter() {
-        if wanted <= 0.0 {
-            return out;
+/// Chooses the mitigations for a worker whose worst service has this pressure. `evictions` is the
+/// maximum number of tasks to evict.
+pub fn choose_mitigations(
+    pressure: f64,
+    candidates: &mut [MitigationCandidate],
+    evictions: usize,
+) -> Vec<Mitigation> {
+    let mut excess = pressure - TARGET_PRESSURE;
+    let mut mitigations = Vec::new();
+    candidates.sort_by(|a, b| b.contribution.total_cmp(&a.contribution));
+    for candidate in candidates.iter() {
+        if excess <= 0.0 {
+            return mitigations;
         }
-        let known = suspect.contribution >= LEAST_CONTRIBUTION;
-        if suspect.percent > suspect.throttle_percent && (known || out.is_empty()) {
-            let saved = f64::from(suspect.percent - suspect.throttle_percent) / 100.0;
-            wanted -= suspect.contribution * saved;
-            out.push(Relief::Throttle(suspect.task.clone(), suspect.throttle_percent));
+        let known = candidate.contribution >= MIN_CONTRIBUTION;
+        if candidate.percent > candidate.throttle_percent && (known || mitigations.is_empty()) {
+            let saved = f64::from(candidate.percent - candidate.throttle_percent) / 100.0;
+            excess -= candidate.contribution * saved;
+            mitigations
+                .push(Mitigation::Throttle(candidate.task.clone(), candidate.throttle_percent));
         }
     }
-    if !out.is_empty() {
-        return out;
+    if !mitigations.is_empty() {
+        return mitigations;
     }
-    let gain =
-        |suspect: &Suspect| suspect.contribution.max(0.0) / (suspect.lost_ms + RESTART_MS) as f64;
-    suspects.sort_by(|a, b| gain(b).total_cmp(&gain(a)));
-    let movable = |suspect: &&Suspect| suspect.may_evict && suspect.left_ms > NEARLY_DONE_MS;
-    for suspect in suspects.iter().filter(movable).take(evictions) {
-        if wanted <= 0.0 {
+    let benefit = |candidate: &MitigationCandidate| {
+        candidate.contribution.max(0.0) / (candidate.lost_ms + RESTART_COST_MS) as f64
+    };
+    candidates.sort_by(|a, b| benefit(b).total_cmp(&benefit(a)));
+    let is_movable = |candidate: &&MitigationCandidate| {
+        candidate.may_evict && candidate.remaining_ms > MIN_REMAINING_MS
+    };
+    for candidate in candidates.iter().filter(is_movable).take(evictions) {
+        if excess <= 0.0 {
             break;
         }
-        wanted -= suspect.contribution * f64::from(suspect.percent) / 100.0;
-        out.push(Relief::Evict(suspect.task.clone(), EvictReason::Promise));
+        excess -= candidate.contribution * f64::from(candidate.percent) / 100.0;
+        mitigations.push(Mitigation::Evict(candidate.task.clone(), EvictReason::Promise));
     }
-    out
+    mitigations
 }
 
-/// A worker's identity with the state of its guard.
-pub type Guards = std::collections::BTreeMap<WorkerId, Guard>;
+/// Mitigation state of each worker.
+pub type MitigationStates = std::collections::BTreeMap<WorkerId, MitigationState>;
--- a/crates/agatesill_policy/src/batch/policy/queue.rs
+++ b/crates/agatesill_policy/src/batch/policy/queue.rs
@@ -1,59 +1,60 @@
-//! The order of waiting tasks: lanes, weighted shares between teams, deadlines within a team.
+//! Order of the waiting tasks: by priority tier, by weighted share between teams, and by deadline
+//! within a team.
 //!
-//! Load pattern: 200 teams, a tenth of which submit far more than their share, with deadlines
-//! inside each team and urgent work among them. Without it (first come, first served) the greedy
-//! tenth takes the floor and jobs whose latest start comes first wait behind jobs with days to
-//! spare; docs/BATCH.md gives the figures of `quota` and `month-end`.
+//! The expected load comes from 200 teams. A tenth of them submit far more than their share, with
+//! deadlines within each team and urgent jobs in between. In first-come, first-served order, that
+//! tenth would occupy all workers, and jobs with an early latest start would wait behind jobs that
+//! have days to spare. docs/BATCH.md has the results of the `quota` and `month-end` benchmarks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::super::{Job, TaskId};
 
-/// Time after which a job without a deadline counts as due: it ages past newer work, but leaves
-/// a working day's deadlines in front.
+/// Time after which a job without a deadline counts as due. The job overtakes newer work, but stays
+/// behind the deadlines of a working day.
 pub const AGING_MS: u64 = 3_600_000;
 
-/// A latest start missed by this part of the run time may still be made up by a quick run.
-const HOPELESS_PART: u64 = 10;
+/// A deadline counts as infeasible once the latest start is missed by more than this fraction (one
+/// in ten) of the run time, since a faster run may still meet it before that.
+const LATE_START_DIVISOR: u64 = 10;
 
-/// Which tasks go before which, whatever their team.
+/// Priority across teams, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Lane {
+pub enum PriorityTier {
     /// Latency-critical tasks.
     Critical,
     /// Urgent batch tasks.
     Urgent,
-    /// All other tasks, by the shares of their teams.
+    /// All other tasks, ordered by the shares of their teams.
     Shared,
 }
 
-/// A job with tasks that wait.
+/// A job with waiting tasks.
 #[derive(Clone, Debug)]
 pub struct QueuedJob {
-    /// Its lane.
-    pub lane: Lane,
-    /// Its team.
+    pub tier: PriorityTier,
     pub team: String,
-    /// Its deadline, or what aging puts in its place; the order within a lane or team.
+    /// Its deadline, or the time at which a job without one counts as due. Orders jobs within a
+    /// tier or team.
     pub due_ms: u64,
-    /// Whether it has a deadline.
     pub has_deadline: bool,
     /// Whether its deadline can no longer be met.
-    pub hopeless: bool,
-    /// Tasks that may be placed now.
+    pub infeasible: bool,
+    /// Indices of the tasks that may be placed now.
     pub ready: BTreeSet<u32>,
 }
 
-/// What a team waits for and has used.
+/// Waiting jobs and resource usage of a team.
 #[derive(Clone, Debug, Default)]
 pub struct TeamQueue {
-    /// Its jobs by deadline.
+    /// Its jobs: feasible ones first, then by due time and identifier.
     pub order: BTreeSet<(bool, u64, String)>,
-    /// Processor time used, over its weight: the team with the least goes first.
+    /// Used CPU time, in `cpu_milli` times milliseconds, divided by the team's weight. The team
+    /// with the lowest value is served first.
     pub virtual_ms: f64,
-    /// Processors reserved now.
+    /// Currently reserved CPU, in thousandths of a core.
     pub used_cpu_milli: u64,
-    /// Tasks that run now.
+    /// Number of running tasks.
     pub running: u32,
     /// Smoothed time between two starts.
     pub start_interval_ms: f64,
@@ -64,48 +65,48 @@
 #[derive(Debug, Default)]
 pub struct Queue {
     jobs: BTreeMap<String, QueuedJob>,
-    express: BTreeSet<(Lane, u64, String)>,
-    due: BTreeSet<(u64, String)>,
+    prioritized: BTreeSet<(PriorityTier, u64, String)>,
+    by_deadline: BTreeSet<(u64, String)>,
     teams: BTreeMap<String, TeamQueue>,
     delayed: BTreeSet<(u64, TaskId)>,
-    floor_virtual_ms: f64,
+    min_virtual_ms: f64,
 }
 
 impl Queue {
-    /// Adds a job's waiting tasks, or replaces what was known of them.
-    pub fn put(&mut self, job: &Job, lane: Lane, sure_run_ms: u64, now_ms: u64) {
+    /// Adds a job's waiting tasks and replaces an existing entry of the job.
+    pub fn insert(&mut self, job: &Job, tier: PriorityTier, learned_run_ms: u64, now_ms: u64) {
         self.remove(&job.spec.id);
         let ready: BTreeSet<u32> = job.waiting().map(|index| index as u32).collect();
         if ready.is_empty() || !job.is_runnable() {
             return;
         }
-        let (hopeless, due_ms) = order(job, sure_run_ms, now_ms);
+        let (infeasible, due_ms) = order(job, learned_run_ms, now_ms);
         let team = job.spec.team.clone();
         let has_deadline = job.spec.deadline_ms > 0;
-        let queued = QueuedJob { lane, team, due_ms, has_deadline, hopeless, ready };
-        self.link(&job.spec.id, &queued);
+        let queued = QueuedJob { tier, team, due_ms, has_deadline, infeasible, ready };
+        self.index_job(&job.spec.id, &queued);
         self.jobs.insert(job.spec.id.clone(), queued);
     }
 
-    /// Takes a job out.
+    /// Removes a job.
     pub fn remove(&mut self, id: &str) {
         if let Some(queued) = self.jobs.remove(id) {
-            self.unlink(id, &queued);
+            self.unindex_job(id, &queued);
         }
     }
 
-    /// Moves a job to the place that a new run time gives it; its ready tasks stay.
-    pub fn reorder(&mut self, job: &Job, sure_run_ms: u64, now_ms: u64) {
+    /// Updates the position of a job for a new run time. Its ready tasks stay.
+    pub fn reorder(&mut self, job: &Job, learned_run_ms: u64, now_ms: u64) {
         let id = job.spec.id.as_str();
         let Some(mut queued) = self.jobs.remove(id) else { return };
-        self.unlink(id, &queued);
-        (queued.hopeless, queued.due_ms) = order(job, sure_run_ms, now_ms);
-        self.link(id, &queued);
+        self.unindex_job(id, &queued);
+        (queued.infeasible, queued.due_ms) = order(job, learned_run_ms, now_ms);
+        self.index_job(id, &queued);
         self.jobs.insert(id.to_owned(), queued);
     }
 
-    /// Takes one task out, because it was placed.
-    pub fn take(&mut self, id: &str, index: u32) {
+    /// Removes a task that was placed or has ended.
+    pub fn remove_task(&mut self, id: &str, index: u32) {
         let Some(queued) = self.jobs.get_mut(id) else { return };
         queued.ready.remove(&index);
         if queued.ready.is_empty() {
@@ -113,8 +114,15 @@
         }
     }
 
-    /// Adds a task that has to wait again, at the earliest at `not_before_ms`.
-    pub fn put_back(&mut self, job: &Job, lane: Lane, index: u32, sure_run_ms: u64, now_ms: u64) {
+    /// Adds a task that waits again. Its job keeps its position if it is still queued.
+    pub fn requeue(
+        &mut self,
+        job: &Job,
+        tier: PriorityTier,
+        index: u32,
+        learned_run_ms: u64,
+        now_ms: u64,
+    ) {
         if !job.is_runnable() {
             return;
         }
@@ -122,52 +130,52 @@
             queued.ready.insert(index);
             return;
         }
-        let (hopeless, due_ms) = order(job, sure_run_ms, now_ms);
+        let (infeasible, due_ms) = order(job, learned_run_ms, now_ms);
         let team = job.spec.team.clone();
         let ready = BTreeSet::from([index]);
         let has_deadline = job.spec.deadline_ms > 0;
-        let queued = QueuedJob { lane, team, due_ms, has_deadline, hopeless, ready };
-        self.link(&job.spec.id, &queued);
+        let queued = QueuedJob { tier, team, due_ms, has_deadline, infeasible, ready };
+        self.index_job(&job.spec.id, &queued);
         self.jobs.insert(job.spec.id.clone(), queued);
     }
 
-    /// Keeps a task out until `not_before_ms`.
+    /// Keeps a task out of the queue until `not_before_ms`.
     pub fn delay(&mut self, task: TaskId, not_before_ms: u64) {
         self.delayed.insert((not_before_ms, task));
     }
 
-    /// Tasks whose delay is over.
-    pub fn due(&mut self, now_ms: u64) -> Vec<TaskId> {
+    /// Removes and returns the tasks whose delay has expired.
+    pub fn take_due_delays(&mut self, now_ms: u64) -> Vec<TaskId> {
         let later = self.delayed.split_off(&(now_ms + 1, String::new()));
         let due = std::mem::replace(&mut self.delayed, later);
         due.into_iter().map(|(_, task)| task).collect()
     }
 
-    /// One queued job.
+    /// A queued job.
     pub fn job(&self, id: &str) -> Option<&QueuedJob> {
         self.jobs.get(id)
     }
 
-    /// Jobs that go before all teams.
-    pub fn express(&self) -> impl Iterator<Item = (&str, &QueuedJob)> {
-        self.express
+    /// Jobs of the tiers above the teams' shares, in order.
+    pub fn prioritized(&self) -> impl Iterator<Item = (&str, &QueuedJob)> {
+        self.prioritized
             .iter()
             .filter_map(|(_, _, id)| self.jobs.get(id).map(|queued| (id.as_str(), queued)))
     }
 
-    /// Jobs of all teams whose deadline lies before `before_ms`, first ones first; those
-    /// that can no longer meet their deadline are not among them.
+    /// Jobs of all teams with a deadline before `before_ms`, earliest first, without those whose
+    /// deadline is infeasible.
     pub fn due_before(&self, before_ms: u64) -> impl Iterator<Item = (&str, &QueuedJob)> {
-        self.due
+        self.by_deadline
             .range(..(before_ms, String::new()))
             .filter_map(|(_, id)| self.jobs.get(id).map(|queued| (id.as_str(), queued)))
     }
 
-    /// Whether a team may go ahead of its share: it has not used more than `credit` beyond the
-    /// team with the least.
+    /// Whether a team may exceed its share: its usage is at most `credit` above that of the team
+    /// with the lowest usage.
     pub fn has_credit(&self, team: &str, credit: f64) -> bool {
         let used = self.teams.get(team).map_or(0.0, |team| team.virtual_ms);
-        used <= self.floor_virtual_ms + credit
+        used <= self.min_virtual_ms + credit
     }
 
     /// Number of teams with waiting or running tasks.
@@ -181,7 +189,7 @@
         self.teams.iter().filter(waits).map(|(name, team)| (name.as_str(), team))
     }
 
-    /// One team.
+    /// The queue of a team.
     pub fn team(&self, name: &str) -> Option<&TeamQueue> {
         self.teams.get(name)
     }
@@ -191,8 +199,8 @@
         self.jobs.iter().map(|(id, queued)| (id.as_str(), queued))
     }
 
-    /// Charges a team for a start: `cost` is its expected processor time over the weight.
-    pub fn charge(&mut self, team: &str, cpu_milli: u64, cost: f64, now_ms: u64) {
+    /// Adds a start to a team's usage. `cost` is its expected CPU time divided by the weight.
+    pub fn add_usage(&mut self, team: &str, cpu_milli: u64, cost: f64, now_ms: u64) {
         let team = self.teams.entry(team.to_owned()).or_default();
         team.virtual_ms += cost;
         team.used_cpu_milli += cpu_milli;
@@ -202,8 +210,9 @@
         team.last_start_ms = now_ms;
     }
 
-    /// Corrects a team's account at an end: `correction` is the true cost less the expected.
-    pub fn settle(&mut self, team: &str, cpu_milli: u64, correction: f64) {
+    /// Corrects a team's usage at the end of an attempt. `correction` is the actual minus the
+    /// expected cost.
+    pub fn settle_usage(&mut self, team: &str, cpu_milli: u64, correction: f64) {
         if let Some(team) = self.teams.get_mut(team) {
             team.virtual_ms += correction;
             team.used_cpu_milli = team.used_cpu_milli.saturating_sub(cpu_milli);
@@ -211,52 +220,53 @@
         }
     }
 
-    /// Notes the least account among the teams that wait. A team that returns from idleness
-    /// starts there: without that it would take the whole floor until it had caught up.
-    pub fn note_floor(&mut self) {
-        let least = self.waiting_teams().map(|(_, team)| team.virtual_ms).fold(f64::MAX, f64::min);
-        if least < f64::MAX {
-            self.floor_virtual_ms = least.max(self.floor_virtual_ms);
+    /// Raises the minimum usage to the lowest one among the waiting teams. A team that was idle
+    /// restarts from this minimum; otherwise it would occupy all workers until its usage had caught
+    /// up.
+    pub fn update_min_virtual_time(&mut self) {
+        let lowest = self.waiting_teams().map(|(_, team)| team.virtual_ms).fold(f64::MAX, f64::min);
+        if lowest < f64::MAX {
+            self.min_virtual_ms = lowest.max(self.min_virtual_ms);
         }
     }
 
-    fn link(&mut self, id: &str, queued: &QueuedJob) {
-        if queued.lane == Lane::Shared {
-            let floor = self.floor_virtual_ms;
+    fn index_job(&mut self, id: &str, queued: &QueuedJob) {
+        if queued.tier == PriorityTier::Shared {
+            let minimum = self.min_virtual_ms;
             let team = self.teams.entry(queued.team.clone()).or_default();
             if team.order.is_empty() && team.running == 0 {
-                team.virtual_ms = team.virtual_ms.max(floor);
+                team.virtual_ms = team.virtual_ms.max(minimum);
             }
-            team.order.insert((queued.hopeless, queued.due_ms, id.to_owned()));
-            if queued.has_deadline && !queued.hopeless {
-                self.due.insert((queued.due_ms, id.to_owned()));
+            team.order.insert((queued.infeasible, queued.due_ms, id.to_owned()));
+            if queued.has_deadline && !queued.infeasible {
+                self.by_deadline.insert((queued.due_ms, id.to_owned()));
             }
         } else {
-            self.express.insert((queued.lane, queued.due_ms, id.to_owned()));
+            self.prioritized.insert((queued.tier, queued.due_ms, id.to_owned()));
         }
     }
 
-    fn unlink(&mut self, id: &str, queued: &QueuedJob) {
-        if queued.lane == Lane::Shared {
-            self.due.remove(&(queued.due_ms, id.to_owned()));
+    fn unindex_job(&mut self, id: &str, queued: &QueuedJob) {
+        if queued.tier == PriorityTier::Shared {
+            self.by_deadline.remove(&(queued.due_ms, id.to_owned()));
             if let Some(team) = self.teams.get_mut(&queued.team) {
-                team.order.remove(&(queued.hopeless, queued.due_ms, id.to_owned()));
+                team.order.remove(&(queued.infeasible, queued.due_ms, id.to_owned()));
             }
         } else {
-            self.express.remove(&(queued.lane, queued.due_ms, id.to_owned()));
+            self.prioritized.remove(&(queued.tier, queued.due_ms, id.to_owned()));
         }
     }
 }
 
-/// Earliest deadline first; a job without slack left, by the learned run time, goes behind those
-/// that have some: serving it first would make the next one late as well, one after the other.
-fn order(job: &Job, sure_run_ms: u64, now_ms: u64) -> (bool, u64) {
+/// Earliest deadline first. A job without remaining slack by its learned run time goes behind those
+/// with slack, since serving it first would make the next job late as well, and so on.
+fn order(job: &Job, learned_run_ms: u64, now_ms: u64) -> (bool, u64) {
     match job.spec.deadline_ms {
         0 => (false, job.at_ms + AGING_MS),
         limit_ms => {
             let due_ms = job.at_ms + limit_ms;
-            let sure_ms = sure_run_ms - sure_run_ms / HOPELESS_PART;
-            (due_ms < now_ms + sure_ms, due_ms)
+            let min_run_ms = learned_run_ms - learned_run_ms / LATE_START_DIVISOR;
+            (due_ms < now_ms + min_run_ms, due_ms)
         }
     }
 }
--- a/crates/agatesill_policy/src/batch/task.rs
+++ b/crates/agatesill_policy/src/batch/task.rs
@@ -1,4 +1,4 @@
-//! Jobs and tasks as the ledger holds them.
+//! Jobs and tasks in the ledger.
 
 use std::collections::BTreeSet;
 
@@ -6,35 +6,35 @@
 
 use super::{Attempt, JobOutcome, JobSpec, Resources, TaskId, WorkerId};
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Not placed; a later attempt resumes from the checkpoint.
+    /// Not placed. The next attempt resumes from the checkpoint.
     Waiting {
-        /// Progress kept by the newest committed checkpoint.
+        /// Progress saved by the newest committed checkpoint.
         checkpoint_ms: u64,
     },
-    /// Placed: a worker holds it or will.
+    /// Placed on a worker, which may not have received the attempt yet.
     Placed {
-        /// Where.
+        /// Worker of the live attempt.
         worker: WorkerId,
     },
-    /// Asked to stop; still charged to its worker.
+    /// Asked to stop. Its resources stay allocated on the worker.
     Evicting {
-        /// Where.
+        /// Worker of the live attempt.
         worker: WorkerId,
     },
-    /// Finished with success.
+    /// Completed successfully.
     Done,
-    /// Given up.
+    /// Its job failed.
     Failed,
-    /// Cancelled.
+    /// Its job was cancelled.
     Cancelled,
 }
 
 impl TaskState {
-    /// The worker that is charged for the task.
+    /// The worker on which the task's resources are allocated.
     pub fn worker(&self) -> Option<WorkerId> {
         match self {
             TaskState::Placed { worker } | TaskState::Evicting { worker } => Some(*worker),
@@ -42,48 +42,48 @@
         }
     }
 
-    /// Whether the task is over.
+    /// Whether the task has reached a final state.
     pub fn is_closed(&self) -> bool {
         matches!(self, TaskState::Done | TaskState::Failed | TaskState::Cancelled)
     }
 }
 
-/// A task with its place in the ledger.
+/// A task with its attempts, reservation and failure counts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskView {
-    /// The state.
+    /// Current state.
     pub state: TaskState,
     /// Number of the newest attempt; 0 before the first.
     pub attempt: Attempt,
-    /// Progress kept by the newest committed checkpoint.
+    /// Progress saved by the newest committed checkpoint.
     #[serde(default)]
     pub checkpoint_ms: u64,
-    /// Amounts charged for the live attempt; zero when none is live.
+    /// Resources allocated to the live attempt; zero without one.
     #[serde(default)]
     pub reserved: Resources,
-    /// Attempts that failed by themselves.
+    /// Number of attempts that failed by an error of the task or its worker.
     #[serde(default)]
     pub failures: u32,
-    /// Attempts that were stopped for exceeding their memory.
+    /// Number of attempts that were stopped for exceeding their memory.
     #[serde(default)]
     pub overruns: u32,
-    /// Attempts that were evicted.
+    /// Number of attempts that were evicted.
     #[serde(default)]
     pub evictions: u32,
-    /// Consecutive attempts that may have crashed their workers.
+    /// Number of consecutive attempts that may have crashed their workers.
     #[serde(default)]
     pub crashes: u32,
-    /// What the task becomes once its live attempt has ended, when that is settled already.
+    /// Final state of the task once its live attempt has ended, if already decided.
     #[serde(default)]
     pub settled: Option<Settled>,
 }
 
 crate::value_type! {
-    /// The end that awaits a task whose attempt is still being stopped.
+    /// Final state of a task whose live attempt is still being stopped.
     pub enum Settled {
-        /// An earlier attempt reported success late.
+        /// An earlier attempt reported its success late.
         Done,
-        /// Its job was given up.
+        /// Its job failed.
         Failed,
         /// Its job was cancelled.
         Cancelled,
@@ -91,8 +91,8 @@
 }
 
 impl TaskView {
-    /// A task that has never been placed.
-    pub fn fresh() -> Self {
+    /// Creates a task that has never been placed.
+    pub fn unplaced() -> Self {
         Self {
             state: TaskState::Waiting { checkpoint_ms: 0 },
             attempt: 0,
@@ -110,30 +110,30 @@
 /// A job in the ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// As submitted.
+    /// Specification as submitted.
     pub spec: JobSpec,
     /// Time of acceptance.
     pub at_ms: u64,
-    /// The one outcome, once there is one.
+    /// Final outcome; `None` while the job is open.
     pub outcome: Option<JobOutcome>,
-    /// Why the job is parked.
+    /// Why the job is parked, if it is.
     pub parked: Option<String>,
-    /// The cell it moved to.
+    /// The cell that the job moved to, if any.
     pub forwarded: Option<String>,
-    /// Jobs that must be done first.
+    /// Unfinished jobs that this job depends on.
     pub blocked_on: BTreeSet<String>,
-    /// Its tasks.
+    /// Tasks by index.
     pub tasks: Vec<TaskView>,
-    /// Tasks that are not over.
+    /// Number of tasks that have not reached a final state.
     #[serde(skip)]
     pub open_tasks: u32,
-    /// Tasks with a live attempt.
+    /// Number of tasks with a live attempt.
     #[serde(skip)]
     pub live_tasks: u32,
 }
 
 impl Job {
-    /// Whether a waiting task of the job may be placed.
+    /// Whether the job's waiting tasks may be placed.
     pub fn is_runnable(&self) -> bool {
         self.outcome.is_none()
             && self.parked.is_none()
@@ -141,12 +141,12 @@
             && self.blocked_on.is_empty()
     }
 
-    /// Identifier of one task.
+    /// Identifier of the task with this index.
     pub fn task_id(&self, index: usize) -> TaskId {
         format!("{}/{index}", self.spec.id)
     }
 
-    /// Indices of the tasks that wait.
+    /// Indices of the waiting tasks.
     pub fn waiting(&self) -> impl Iterator<Item = usize> + '_ {
         self.tasks.iter().enumerate().filter_map(|(index, task)| {
             matches!(task.state, TaskState::Waiting { .. }).then_some(index)
--- a/crates/agatesill_policy/tests/batch_crashes.rs
+++ b/crates/agatesill_policy/tests/batch_crashes.rs
@@ -3,8 +3,8 @@
 
 use agatesill_policy::prelude::*;
 
-/// Limit on the starts of a task that crashes its worker at each start.
-const MOST_STARTS: usize = 5;
+/// Maximum number of starts of a task that crashes its worker at each start.
+const MAX_STARTS: usize = 5;
 
 fn worker(id: WorkerId, cpu_milli: u64) -> WorkerSpec {
     let capacity = Resources { cpu_milli, memory_mb: 64_000, accelerators: 0 };
@@ -99,19 +99,20 @@
 
 /// Guards against unlimited retries of a task that crashes its workers.
 #[test]
-fn a_task_that_crashes_its_workers_is_given_up() {
-    assert!(starts_until_closed(false) <= MOST_STARTS);
+fn a_task_that_crashes_its_workers_fails_its_job() {
+    assert!(starts_until_closed(false) <= MAX_STARTS);
 }
 
 /// Guards against losing the crash count when another owner takes over.
 #[test]
 fn crash_counts_of_a_cell_survive_takeovers() {
-    assert!(starts_until_closed(true) <= MOST_STARTS);
+    assert!(starts_until_closed(true) <= MAX_STARTS);
 }
 
-/// Guards against giving up a task that is often lost during probation but runs past it in between.
+/// Guards against failing a job whose task is often lost during probation but outlives it in
+/// between.
 #[test]
-fn an_attempt_that_ran_for_long_resets_the_crash_count() {
+fn an_attempt_that_outlives_probation_resets_the_crash_count() {
     let mut owner = Owner::new(&[worker(0, 8_000), worker(1, 8_000)]);
     owner.accept(job("good", 1));
     for round in 0..24 {
@@ -121,7 +122,7 @@
             if !starts.is_empty() {
                 break starts;
             }
-            assert!(owner.cell.job("good").unwrap().outcome.is_none(), "given up");
+            assert!(owner.cell.job("good").unwrap().outcome.is_none(), "the job failed");
         };
         let (task, attempt) = &starts[0];
         let outcome = match round % 4 {
--- a/crates/agatesill_policy/tests/batch_differential.rs
+++ b/crates/agatesill_policy/tests/batch_differential.rs
@@ -1,4 +1,5 @@
-//! The ledger against a naive version: plain lists, everything recomputed after each change.
+//! Compares the ledger with a reference model that uses plain lists and recomputes all state after
+//! each change.
 #![allow(clippy::expect_used, clippy::unwrap_used, reason = "a test ends on a broken assumption")]
 
 use std::collections::BTreeMap;
@@ -11,35 +12,35 @@
 const OPERATIONS: usize = 10_000;
 const SEEDS: u64 = 50;
 
-/// Newest jobs that deltas name.
-const WINDOW: usize = 12;
+/// Number of the newest jobs that random deltas refer to.
+const JOB_WINDOW: usize = 12;
 
-/// A task of the naive version.
+/// A task of the reference model.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Naive {
+struct ModelTask {
     job: String,
     index: usize,
     attempt: Attempt,
-    on: Option<WorkerId>,
+    worker: Option<WorkerId>,
     reserve: Resources,
     evicting: bool,
     saved_ms: u64,
-    /// `""` while it is open.
+    /// Final state, or `""` while the task is open.
     end: &'static str,
     settled: &'static str,
 }
 
-/// The naive version: a list of tasks, a list of jobs, and no index of anything.
+/// The reference model: a list of tasks and a list of jobs, without indices.
 #[derive(Clone, Debug, Default)]
-struct Floor {
-    tasks: Vec<Naive>,
+struct Model {
+    tasks: Vec<ModelTask>,
     jobs: Vec<(String, Vec<String>, &'static str, bool)>,
     held: Vec<WorkerId>,
 }
 
-impl Floor {
+impl Model {
     fn used(&self, worker: WorkerId) -> Resources {
-        let here = self.tasks.iter().filter(|task| task.on == Some(worker));
+        let here = self.tasks.iter().filter(|task| task.worker == Some(worker));
         here.fold(Resources::default(), |sum, task| sum.plus(&task.reserve))
     }
 
@@ -50,11 +51,13 @@
     fn runnable(&self, id: &str) -> bool {
         let Some(job) = self.job(id) else { return false };
         let (_, after, end, parked) = &self.jobs[job];
-        let done = |on: &String| self.job(on).is_some_and(|on| self.jobs[on].2 == "done");
+        let done = |dependency: &String| {
+            self.job(dependency).is_some_and(|job| self.jobs[job].2 == "done")
+        };
         end.is_empty() && !parked && after.iter().all(done)
     }
 
-    fn task(&mut self, id: &str) -> Option<&mut Naive> {
+    fn task(&mut self, id: &str) -> Option<&mut ModelTask> {
         let (job, index) = id.rsplit_once('/').unwrap();
         let index: usize = index.parse().unwrap();
         self.tasks.iter_mut().find(|task| task.job == job && task.index == index)
@@ -64,21 +67,21 @@
         match delta {
             CellDelta::Accept { job, .. } => self.accept(job),
             CellDelta::Place { task, attempt, worker, reserve } => {
-                let room = capacity.minus(&self.used(*worker)).holds(reserve);
-                let open = room && !self.held.contains(worker) && *worker < WORKERS;
+                let fits = capacity.minus(&self.used(*worker)).holds(reserve);
+                let open = fits && !self.held.contains(worker) && *worker < WORKERS;
                 let id = task.rsplit_once('/').unwrap().0.to_owned();
                 let runnable = self.runnable(&id);
                 let Some(task) = self.task(task) else { return };
-                let next = task.attempt + 1 == *attempt && task.on.is_none();
+                let next = task.attempt + 1 == *attempt && task.worker.is_none();
                 if open && runnable && next && task.end.is_empty() {
                     task.attempt = *attempt;
-                    task.on = Some(*worker);
+                    task.worker = Some(*worker);
                     task.reserve = *reserve;
                 }
             }
             CellDelta::Evict { task, attempt, .. } => {
                 let Some(task) = self.task(task) else { return };
-                task.evicting |= task.on.is_some() && task.attempt == *attempt;
+                task.evicting |= task.worker.is_some() && task.attempt == *attempt;
             }
             CellDelta::End { task, attempt, outcome } => self.end(task, *attempt, outcome),
             CellDelta::Cancel { job } => self.give_up(job, "cancelled"),
@@ -103,18 +106,18 @@
         }
         self.jobs.push((job.id.clone(), job.after.clone(), "", false));
         for index in 0..job.tasks as usize {
-            self.tasks.push(Naive { job: job.id.clone(), index, ..Naive::default() });
+            self.tasks.push(ModelTask { job: job.id.clone(), index, ..ModelTask::default() });
         }
     }
 
     fn end(&mut self, id: &str, attempt: Attempt, outcome: &AttemptOutcome) {
         let Some(task) = self.task(id) else { return };
         let done = *outcome == AttemptOutcome::Done;
-        let live = task.on.is_some() && task.attempt == attempt;
+        let live = task.worker.is_some() && task.attempt == attempt;
         if !live {
-            // A success may come late, from an attempt that was declared lost.
+            // An attempt that was declared lost may report its success late.
             if done && attempt <= task.attempt && attempt > 0 && task.end.is_empty() {
-                match task.on {
+                match task.worker {
                     None => task.end = "done",
                     Some(_) => {
                         task.evicting = true;
@@ -124,7 +127,7 @@
             }
             return;
         }
-        task.on = None;
+        task.worker = None;
         task.evicting = false;
         if let AttemptOutcome::Stopped { checkpoint_ms } = outcome {
             task.saved_ms = task.saved_ms.max(*checkpoint_ms);
@@ -139,7 +142,7 @@
         }
         self.jobs[job].2 = end;
         for task in self.tasks.iter_mut().filter(|task| task.job == id && task.end.is_empty()) {
-            if task.on.is_none() {
+            if task.worker.is_none() {
                 task.end = end;
             } else {
                 task.evicting = true;
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Closes what is done, and what waits for a job that never will be, until nothing changes.
+    /// Closes completed jobs, and jobs whose dependencies cannot complete, until nothing changes.
     fn close(&mut self) {
         loop {
             let all_done = |id: &str| {
@@ -164,8 +167,8 @@
                 continue;
             }
             let broken = self.jobs.iter().filter(open).find(|job| {
-                job.1.iter().any(|on| match self.job(on) {
-                    Some(on) => matches!(self.jobs[on].2, "failed" | "cancelled"),
+                job.1.iter().any(|dependency| match self.job(dependency) {
+                    Some(job) => matches!(self.jobs[job].2, "failed" | "cancelled"),
                     None => true,
                 })
             });
@@ -175,11 +178,11 @@
     }
 }
 
-fn compare(cell: &Cell, floor: &Floor, step: usize) {
+fn compare(cell: &Cell, model: &Model, step: usize) {
     for worker in 0..WORKERS {
-        assert_eq!(cell.worker(worker).unwrap().used, floor.used(worker), "step {step}");
+        assert_eq!(cell.worker(worker).unwrap().used, model.used(worker), "step {step}");
     }
-    for (id, _, end, _) in &floor.jobs {
+    for (id, _, end, _) in &model.jobs {
         let job = cell.job(id).expect("accepted jobs stay");
         let outcome = match &job.outcome {
             None => "",
@@ -189,14 +192,14 @@
         };
         assert_eq!(outcome, *end, "job {id} at step {step}");
     }
-    for task in &floor.tasks {
+    for task in &model.tasks {
         let seen = &cell.job(&task.job).unwrap().tasks[task.index];
         let state = match (&seen.state, task.end) {
             (TaskState::Waiting { checkpoint_ms }, "") => {
-                *checkpoint_ms == task.saved_ms && task.on.is_none()
+                *checkpoint_ms == task.saved_ms && task.worker.is_none()
             }
-            (TaskState::Placed { worker }, "") => task.on == Some(*worker) && !task.evicting,
-            (TaskState::Evicting { worker }, "") => task.on == Some(*worker) && task.evicting,
+            (TaskState::Placed { worker }, "") => task.worker == Some(*worker) && !task.evicting,
+            (TaskState::Evicting { worker }, "") => task.worker == Some(*worker) && task.evicting,
             (TaskState::Done, "done") => true,
             (TaskState::Failed, "failed") => true,
             (TaskState::Cancelled, "cancelled") => true,
@@ -222,7 +225,7 @@
         run_ms: 1_000,
         deadline_ms: 0,
         urgent: rng.random_bool(0.1),
-        after: after.into_iter().filter(|on| *on != format!("j{nth}")).collect(),
+        after: after.into_iter().filter(|dependency| *dependency != format!("j{nth}")).collect(),
     }
 }
 
@@ -235,9 +238,9 @@
     }
 }
 
-/// A delta that may or may not fit the state; replays and late reports are among them.
+/// A random delta that may not match the state, such as a replay or a late report.
 fn random_delta(rng: &mut Pcg64Mcg, cell: &Cell, nth: &mut usize) -> CellDelta {
-    let job = format!("j{}", rng.random_range(nth.saturating_sub(WINDOW)..=*nth));
+    let job = format!("j{}", rng.random_range(nth.saturating_sub(JOB_WINDOW)..=*nth));
     let index = rng.random_range(0..3);
     let task = format!("{job}/{index}");
     let newest = cell.locate(&task).map_or(0, |(job, index)| job.tasks[index].attempt);
@@ -261,18 +264,18 @@
         60..90 => CellDelta::End { task, attempt, outcome: random_outcome(rng) },
         90..93 => CellDelta::Cancel { job },
         93..94 => CellDelta::Fail { job, reason: "tried".to_owned() },
-        94..96 => CellDelta::Park { job, reason: "no room".to_owned() },
+        94..96 => CellDelta::Park { job, reason: "no capacity".to_owned() },
         96..98 => CellDelta::Unpark { job },
         98 => CellDelta::Quarantine { worker },
         _ => CellDelta::Release { worker },
     }
 }
 
-/// Deltas come in any order, again and late, as they do after lost answers and takeovers. The
-/// ledger with its indices must end where the plain lists end, and a policy that plans on it must
-/// only ever propose what the ledger takes.
+/// Deltas arrive out of order, repeatedly and late, as after lost responses and takeovers. The
+/// ledger must agree with the reference model, and the policy must only propose deltas that the
+/// ledger accepts.
 #[test]
-fn the_ledger_agrees_with_plain_lists() {
+fn ledger_matches_the_reference_model() {
     let capacity = Resources { cpu_milli: 4_000, memory_mb: 3_000, accelerators: 1 };
     let specs: Vec<WorkerSpec> = (0..WORKERS)
         .map(|id| WorkerSpec { id, capacity, rack: format!("r{}", id / 2), zone: "z".to_owned() })
@@ -283,43 +286,44 @@
         let mut policy = BatchPolicy::default();
         policy.rebuild(0, &cell);
         let config = BatchConfig::new(&ConfigDoc::default(), 4);
-        let mut floor = Floor::default();
+        let mut model = Model::default();
         let mut nth = 0;
         for step in 0..OPERATIONS {
             let now_ms = step as u64 * 20;
-            // The queue is checked by its choices: each must be a task that the lists let start.
+            // Checks the queue by its proposals: each placement must be possible in the model.
             if step % 50 == 0 {
                 for delta in policy.plan(now_ms, &cell, &config).deltas {
                     let placed = matches!(delta, CellDelta::Place { .. });
                     let effects = policy.apply(now_ms, &mut cell, &delta);
-                    floor.apply(&delta, &capacity);
+                    model.apply(&delta, &capacity);
                     assert!(!placed || !effects.is_empty(), "{delta:?} was refused");
                 }
             }
             let delta = random_delta(&mut rng, &cell, &mut nth);
             policy.apply(now_ms, &mut cell, &delta);
-            floor.apply(&delta, &capacity);
+            model.apply(&delta, &capacity);
             if step % 20 == 0 || step + 1 == OPERATIONS {
-                compare(&cell, &floor, step);
+                compare(&cell, &model, step);
             }
             if step % 100 == 99 {
-                retire(&mut policy, &mut cell, &mut floor, now_ms, nth, &capacity);
-                forget(&mut policy, &mut cell, &mut floor, now_ms);
+                fail_old_jobs(&mut policy, &mut cell, &mut model, now_ms, nth, &capacity);
+                forget(&mut policy, &mut cell, &mut model, now_ms);
             }
         }
     }
 }
 
-/// Gives up jobs that no delta names any more, so that the lists stay short.
-fn retire(
+/// Fails jobs that no random delta refers to any more, so that the lists stay short.
+fn fail_old_jobs(
     policy: &mut BatchPolicy,
     cell: &mut Cell,
-    floor: &mut Floor,
+    model: &mut Model,
     now_ms: u64,
     nth: usize,
     capacity: &Resources,
 ) {
-    let newest: Vec<String> = (nth.saturating_sub(WINDOW)..=nth).map(|n| format!("j{n}")).collect();
+    let newest: Vec<String> =
+        (nth.saturating_sub(JOB_WINDOW)..=nth).map(|n| format!("j{n}")).collect();
     let jobs = cell.jobs().filter(|job| !newest.contains(&job.spec.id));
     let mut deltas = Vec::new();
     for job in jobs {
@@ -333,12 +337,12 @@
     }
     for delta in deltas {
         policy.apply(now_ms, cell, &delta);
-        floor.apply(&delta, capacity);
+        model.apply(&delta, capacity);
     }
 }
 
-/// Drops closed jobs without live attempts from both, as the owner of a cell does.
-fn forget(policy: &mut BatchPolicy, cell: &mut Cell, floor: &mut Floor, now_ms: u64) {
+/// Removes closed jobs without live attempts from the ledger and the model, as a cell's owner does.
+fn forget(policy: &mut BatchPolicy, cell: &mut Cell, model: &mut Model, now_ms: u64) {
     let closed: Vec<String> = cell
         .jobs()
         .filter(|job| job.outcome.is_some() && job.live_tasks == 0)
@@ -346,17 +350,17 @@
         .collect();
     for job in closed {
         policy.apply(now_ms, cell, &CellDelta::Forget { job: job.clone() });
-        // Jobs that wait for it were decided when it closed; they stay as they are.
-        let done = floor.jobs.iter().any(|known| known.0 == job && known.2 == "done");
-        for open in &mut floor.jobs {
-            open.1.retain(|on| *on != job || !done);
+        // The outcome of its dependents was decided when it closed and stays.
+        let done = model.jobs.iter().any(|known| known.0 == job && known.2 == "done");
+        for open in &mut model.jobs {
+            open.1.retain(|dependency| *dependency != job || !done);
         }
-        floor.tasks.retain(|task| task.job != job);
-        floor.jobs.retain(|known| known.0 != job);
+        model.tasks.retain(|task| task.job != job);
+        model.jobs.retain(|known| known.0 != job);
     }
 }
 
-/// A snapshot that is read back is the same ledger, with all that is derived.
+/// A snapshot must restore the same ledger, including derived state.
 #[test]
 fn a_snapshot_reads_back_as_the_same_ledger() {
     let capacity = Resources { cpu_milli: 4_000, memory_mb: 3_000, accelerators: 1 };
@@ -370,9 +374,9 @@
     }
     let text = serde_json::to_string(&cell).unwrap();
     let read: Cell = serde_json::from_str(&text).unwrap();
-    let books = |cell: &Cell| -> BTreeMap<WorkerId, (Resources, usize)> {
+    let usage = |cell: &Cell| -> BTreeMap<WorkerId, (Resources, usize)> {
         cell.workers().map(|w| (w.spec.id, (w.used, w.live.len()))).collect()
     };
-    assert_eq!(books(&cell), books(&read));
+    assert_eq!(usage(&cell), usage(&read));
     assert!(cell.jobs().zip(read.jobs()).all(|(a, b)| a == b));
 }
--- a/crates/agatesill_policy/tests/batch_policy.rs
+++ b/crates/agatesill_policy/tests/batch_policy.rs
@@ -1,4 +1,5 @@
-//! The batch policy: choices against exhaustive search, and checks that catch hand-made bugs.
+//! The batch policy: placements against exhaustive search, and checks that must detect injected
+//! faults.
 #![allow(clippy::expect_used, clippy::unwrap_used, reason = "a test ends on a broken assumption")]
 
 use std::collections::BTreeMap;
@@ -66,24 +67,24 @@
     }
 }
 
-/// Most processors that any assignment of `needs` to `free` uses.
-fn best_use(needs: &[Resources], free: &mut Vec<Resources>) -> u64 {
+/// Maximum CPU that any assignment of `needs` to `free` uses.
+fn max_cpu_use(needs: &[Resources], free: &mut Vec<Resources>) -> u64 {
     let Some((need, rest)) = needs.split_first() else { return 0 };
-    let mut best = best_use(rest, free);
+    let mut best = max_cpu_use(rest, free);
     for at in 0..free.len() {
         if free[at].holds(need) {
             let before = free[at];
             free[at] = before.minus(need);
-            best = best.max(need.cpu_milli + best_use(rest, free));
+            best = best.max(need.cpu_milli + max_cpu_use(rest, free));
             free[at] = before;
         }
     }
     best
 }
 
-/// Small floors with tasks of mixed shapes, more than fit: the policy's use of processors against
-/// the best that any assignment reaches. The search may leave any task out, while the policy takes
-/// them in their order, which costs a tenth; a choice that breaks rooms into pieces costs more.
+/// Compares the policy's CPU use with the best assignment, for a few workers and more tasks of
+/// mixed sizes than fit. The search may skip any task, while the policy takes tasks in queue order,
+/// which costs about a tenth. Placements that fragment the free capacity cost more.
 #[test]
 fn allocation_is_close_to_exhaustive_search() {
     let mut rng = Pcg64Mcg::seed_from_u64(11);
@@ -105,33 +106,34 @@
         owner.plan(0);
         let used: u64 = owner.cell.workers().map(|worker| worker.used.cpu_milli).sum();
         let mut free = workers.iter().map(|worker| worker.capacity).collect();
-        shares.push(used as f64 / best_use(&needs, &mut free) as f64);
+        shares.push(used as f64 / max_cpu_use(&needs, &mut free) as f64);
     }
     let mean = shares.iter().sum::<f64>() / shares.len() as f64;
-    let least = shares.iter().copied().fold(f64::MAX, f64::min);
-    println!("share of the best allocation: mean {mean:.3}, least {least:.3}");
+    let lowest = shares.iter().copied().fold(f64::MAX, f64::min);
+    println!("share of the best allocation: mean {mean:.3}, lowest {lowest:.3}");
     assert!(mean >= 0.88, "mean share of the best allocation {mean:.3}");
-    assert!(least >= 0.6, "least share of the best allocation {least:.3}");
+    assert!(lowest >= 0.6, "lowest share of the best allocation {lowest:.3}");
 }
 
-/// A worker needs a second to stop an attempt. An owner that frees the reservation when it asks
-/// for the stop starts the next attempt beside the one that still runs, and the worker is
-/// overcommitted though the ledger looks right. Returns how often that happened by the worker's
-/// own books.
-fn overcommitments(frees_too_early: bool) -> usize {
+/// Simulates a worker that needs a second to stop an attempt. If the owner releases the reservation
+/// when it requests the stop, it starts the next attempt beside the one that still runs, so the
+/// worker is overcommitted although the ledger looks correct. Returns how often the attempts on the
+/// worker exceeded its capacity.
+fn overcommitments(releases_early: bool) -> usize {
     let spec = worker(0, 4_000, 8_000);
     let mut owner = Owner::new(std::slice::from_ref(&spec), config(1_000));
     owner.apply(0, &CellDelta::Accept { job: job("a", 40, 2_000, 1_000), at_ms: 0 });
-    let mut on_worker: BTreeMap<(TaskId, Attempt), (Resources, Option<u64>)> = BTreeMap::new();
+    let mut running_on_worker: BTreeMap<(TaskId, Attempt), (Resources, Option<u64>)> =
+        BTreeMap::new();
     let mut overcommitted = 0;
     for now_ms in (0..60_000).step_by(200) {
-        let stopped: Vec<(TaskId, Attempt)> = on_worker
+        let stopped: Vec<(TaskId, Attempt)> = running_on_worker
             .iter()
             .filter(|(_, (_, stops_ms))| stops_ms.is_some_and(|at_ms| at_ms <= now_ms))
             .map(|(key, _)| key.clone())
             .collect();
         for (task, attempt) in stopped {
-            on_worker.remove(&(task.clone(), attempt));
+            running_on_worker.remove(&(task.clone(), attempt));
             let outcome = AttemptOutcome::Stopped { checkpoint_ms: 0 };
             owner.apply(now_ms, &CellDelta::End { task, attempt, outcome });
         }
@@ -146,12 +148,12 @@
         for effect in effects {
             match effect {
                 CellEffect::Start { task, attempt, reserve, .. } => {
-                    on_worker.insert((task, attempt), (reserve, None));
+                    running_on_worker.insert((task, attempt), (reserve, None));
                 }
                 CellEffect::Stop { task, attempt, .. } => {
                     let key = (task.clone(), attempt);
-                    on_worker.get_mut(&key).unwrap().1 = Some(now_ms + 1_000);
-                    if frees_too_early {
+                    running_on_worker.get_mut(&key).unwrap().1 = Some(now_ms + 1_000);
+                    if releases_early {
                         let outcome = AttemptOutcome::Stopped { checkpoint_ms: 0 };
                         owner.apply(now_ms, &CellDelta::End { task, attempt, outcome });
                     }
@@ -159,23 +161,24 @@
                 CellEffect::JobClosed { .. } => {}
             }
         }
-        let used = on_worker.values().fold(Resources::default(), |sum, one| sum.plus(&one.0));
+        let used =
+            running_on_worker.values().fold(Resources::default(), |sum, one| sum.plus(&one.0));
         overcommitted += usize::from(!spec.capacity.holds(&used));
     }
     overcommitted
 }
 
 #[test]
-fn a_reservation_freed_before_the_stop_is_confirmed_is_seen() {
+fn releasing_a_reservation_before_the_confirmed_stop_overcommits_the_worker() {
     assert_eq!(overcommitments(false), 0);
-    assert!(overcommitments(true) > 0, "the check cannot see the bug that it is for");
+    assert!(overcommitments(true) > 0, "the check did not detect the injected fault");
 }
 
-/// Urgent work arrives every minute on a full floor, so each time a batch task has to give way.
-/// Returns the most evictions of one task within the hour when the policy believes in a budget of
-/// `believed`.
-fn most_evictions(believed: u32) -> u32 {
-    let mut owner = Owner::new(&[worker(0, 4_000, 16_000)], config(believed));
+/// Submits an urgent job every minute while the worker is full, so that a batch task has to be
+/// preempted each time. Returns the highest number of evictions of one task within half an hour,
+/// with a configured limit of `eviction_limit` evictions per hour.
+fn max_evictions(eviction_limit: u32) -> u32 {
+    let mut owner = Owner::new(&[worker(0, 4_000, 16_000)], config(eviction_limit));
     let long = JobSpec { run_ms: 10_000_000, ..job("a", 2, 2_000, 1_000) };
     owner.apply(0, &CellDelta::Accept { job: long, at_ms: 0 });
     let mut ends: Vec<(u64, CellDelta)> = Vec::new();
@@ -208,14 +211,14 @@
 }
 
 #[test]
-fn an_eviction_budget_that_is_ignored_is_seen() {
-    let kept = most_evictions(2);
-    assert!((1..=2).contains(&kept), "a budget of 2 led to {kept} evictions");
-    assert!(most_evictions(1_000) > 2, "the check cannot see the bug that it is for");
+fn evictions_stay_within_the_hourly_budget() {
+    let evictions = max_evictions(2);
+    assert!((1..=2).contains(&evictions), "a budget of 2 led to {evictions} evictions");
+    assert!(max_evictions(1_000) > 2, "the check did not detect the injected fault");
 }
 
-/// A job is cancelled in the same moment in which its last task reports success. The success is
-/// recorded first, so the cancel must change nothing; the other way round the cancel stays.
+/// Guards against a second outcome when a job is cancelled while its last task reports success.
+/// Whichever is recorded first must stay.
 #[test]
 fn the_first_outcome_recorded_wins() {
     let mut owner = Owner::new(&[worker(0, 4_000, 8_000)], config(4));
@@ -237,9 +240,9 @@
     assert_eq!(owner.cell.job("b").unwrap().outcome, Some(JobOutcome::Cancelled));
 }
 
-/// A task is declared lost and placed again, and then the worker that was thought lost reports its
-/// success. The work is done: the task closes, the second attempt is stopped, and its reservation
-/// stays until that stop is confirmed.
+/// Guards against doing work twice when an attempt that was declared lost reports success after a
+/// newer attempt was placed. The newer attempt must be stopped, and its reservation must stay until
+/// the stop is confirmed.
 #[test]
 fn a_late_success_stops_the_newer_attempt() {
     let mut owner = Owner::new(&[worker(0, 2_000, 8_000), worker(1, 2_000, 8_000)], config(4));
@@ -250,14 +253,14 @@
     owner.plan(9_200);
     let effects = owner.apply(9_400, &end(1, AttemptOutcome::Done));
     assert!(matches!(effects[..], [CellEffect::Stop { attempt: 2, .. }]), "{effects:?}");
-    assert_eq!(owner.cell.placed().count(), 1, "freed before the stop");
+    assert_eq!(owner.cell.placed().count(), 1, "released before the stop");
     let stopped = AttemptOutcome::Stopped { checkpoint_ms: 0 };
     owner.apply(9_900, &end(2, stopped));
     assert_eq!(owner.cell.job("a").unwrap().outcome, Some(JobOutcome::Done));
     assert_eq!(owner.cell.placed().count(), 0);
 }
 
-/// A submitter asks why nothing happens: the answer names the limit, or the jobs ahead.
+/// The explanation must name the limit that a job waits for or the jobs that it depends on.
 #[test]
 fn explain_says_why_a_job_waits() {
     let mut owner = Owner::new(&[worker(0, 2_000, 8_000)], config(4));
@@ -271,15 +274,23 @@
     let explain = |id: &str| owner.policy.explain(400, &owner.cell, id).unwrap();
     assert!(explain("a").waits.is_empty());
     assert!(explain("a").history[0].contains("placed on worker 0"));
-    assert!(explain("b").waits.iter().any(|why| why.contains("no worker")), "{:?}", explain("b"));
+    assert!(
+        explain("b")
+            .waits
+            .iter()
+            .any(|why| why.contains("no worker that accepts tasks has enough free capacity")),
+        "{:?}",
+        explain("b")
+    );
     assert!(explain("c").waits[0].contains("until these jobs are done: b"));
     let too_large = owner.cell.impossible(&job("d", 1, 9_000, 500)).unwrap();
     assert_eq!(too_large, "need.cpu_milli 9000 is beyond the nearest worker's 2000");
 }
 
-/// Guards against placements in an evacuated zone, and against work there that is evicted for it.
+/// Guards against placements in an evacuated zone, and against evictions of the work that runs
+/// there.
 #[test]
-fn an_evacuated_zone_takes_no_new_work() {
+fn an_evacuated_zone_accepts_no_new_tasks() {
     let in_zone = |id, zone: &str| WorkerSpec { zone: zone.to_owned(), ..worker(id, 8_000, 8_000) };
     let evacuating = |zone: &str| {
         let mut config = config(4);
@@ -295,5 +306,5 @@
     assert_eq!(used(&owner), [0, 8_000]);
     owner.config = evacuating("b");
     owner.plan(1_000);
-    assert_eq!(used(&owner), [8_000, 8_000], "what waits goes to the other zone, what runs stays");
+    assert_eq!(used(&owner), [8_000, 8_000], "waiting tasks use the other zone, running ones stay");
 }
--- a/crates/agatesill_policy/tests/cell_ledger.rs
+++ b/crates/agatesill_policy/tests/cell_ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of one cell over placements, ends and cancellations.
+//! The ledger of one cell during placements, ends and cancellations.
 
 use agatesill_policy::prelude::*;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn placements_stop_at_capacity_and_go_on_after_an_end() {
+fn placements_stop_at_capacity_and_resume_after_an_end() {
     let mut cell = Cell::new(&[worker(1), worker(2)]);
     cell.apply(&CellDelta::Accept { job: job("a", 6), at_ms: 0 });
     assert_eq!(place_all(&mut cell), 4);
@@ -42,21 +42,21 @@
     let end = CellDelta::End { task: "a/0".to_owned(), attempt: 1, outcome: AttemptOutcome::Done };
     cell.apply(&end);
     assert_eq!(place_all(&mut cell), 1);
-    // A late second report of the same end frees nothing more.
+    // A duplicate report of the same end releases nothing.
     cell.apply(&end);
     assert_eq!(place_all(&mut cell), 0);
 }
 
 #[test]
-fn a_cancelled_job_starts_nothing_more_and_keeps_its_reservation_until_the_stop() {
+fn a_cancelled_job_keeps_its_reservation_until_the_stop_is_confirmed() {
     let mut cell = Cell::new(&[worker(1)]);
     cell.apply(&CellDelta::Accept { job: job("a", 3), at_ms: 0 });
     assert_eq!(place_all(&mut cell), 2);
     let effects = cell.apply(&CellDelta::Cancel { job: "a".to_owned() });
     let stops = effects.iter().filter(|effect| matches!(effect, CellEffect::Stop { .. })).count();
-    assert_eq!((stops, effects.len()), (2, 3), "two stops and the job's one outcome");
+    assert_eq!((stops, effects.len()), (2, 3), "two stops and the job's outcome");
     cell.apply(&CellDelta::Accept { job: job("b", 1), at_ms: 0 });
-    assert_eq!(place_all(&mut cell), 0, "freed before the stop was confirmed");
+    assert_eq!(place_all(&mut cell), 0, "released before the stop was confirmed");
     let outcome = AttemptOutcome::Stopped { checkpoint_ms: 0 };
     let end = CellDelta::End { task: "a/0".to_owned(), attempt: 1, outcome };
     cell.apply(&end);
