--- a/crates/agatesill_policy/src/fleet/advice.rs
+++ b/crates/agatesill_policy/src/fleet/advice.rs
@@ -104,7 +104,7 @@
 
     /// Takes in the service's answer: the workers that may run the step, each with its ticket.
     /// `None` if there was no answer; the question is asked again.
-    pub fn advised(
+    pub fn advice_answered(
         &mut self,
         question: &AdviceQuestion,
         good: Option<&[(String, String)]>,
--- a/crates/agatesill_policy/src/fleet/ages.rs
+++ b/crates/agatesill_policy/src/fleet/ages.rs
@@ -20,7 +20,7 @@
     }
 
     /// The moment of a time of day; one that lies ahead, as other clocks may show, is now.
-    pub(super) fn moment_us(&self, wall_ms: u64, now_us: u64) -> u64 {
+    pub(super) fn monotonic_us(&self, wall_ms: u64, now_us: u64) -> u64 {
         let ledger_ms = wall_ms as i64 - self.wall_offset_ms;
         (ledger_ms.max(0) as u64).saturating_mul(US_PER_MS).min(now_us)
     }
@@ -28,8 +28,8 @@
     /// Gives a job that was read back, and what waits of it, the ages that they had.
     pub(super) fn restore_ages(&mut self, slot: u32, record: Option<&ProgressRecord>, now_us: u64) {
         let Some(job) = self.job(slot).filter(|job| job.phase == JobPhase::Active) else { return };
-        let accepted_us = self.moment_us(job.spec.accepted_at_ms, now_us);
-        let recorded = |at_ms: u64| (at_ms > 0).then(|| self.moment_us(at_ms, now_us));
+        let accepted_us = self.monotonic_us(job.spec.accepted_at_ms, now_us);
+        let recorded = |at_ms: u64| (at_ms > 0).then(|| self.monotonic_us(at_ms, now_us));
         let runnable_us = record.and_then(|record| recorded(record.turn_ms)).unwrap_or(accepted_us);
         let mut since_us = vec![runnable_us; job.tasks.len()];
         for task in record.into_iter().flat_map(|record| &record.tasks) {
--- a/crates/agatesill_policy/src/fleet/capacity_index.rs
+++ b/crates/agatesill_policy/src/fleet/capacity_index.rs
@@ -9,7 +9,7 @@
 
 use crate::batch::Resources;
 
-use super::colocation::crowding_now;
+use super::colocation::crowding_milli;
 use super::images::ImageId;
 use super::worker::{Worker, WorkerIndex};
 
@@ -94,7 +94,7 @@
                 self.services.len() - 1
             }
         };
-        Place { service, free: worker.free(), crowding: crowding_now(worker) }
+        Place { service, free: worker.free(), crowding: crowding_milli(worker) }
     }
 
     fn insert(&mut self, index: WorkerIndex, place: Place) {
--- a/crates/agatesill_policy/src/fleet/colocation/room.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/capacity.rs
@@ -5,7 +5,7 @@
 use crate::fleet::state::Fleet;
 use crate::fleet::worker::Worker;
 
-use super::pressure::Pair;
+use super::interference::Pair;
 
 /// Share of the reserved processors that lasting tasks use: they declare about twice their load.
 const USED_SHARE: f64 = 0.55;
@@ -78,7 +78,7 @@
 const CROWDING_STEPS: f64 = 1_000.0;
 
 /// How crowded a worker is for tasks that fill, in thousandths; `None` if it takes no more.
-pub fn crowding_now(worker: &Worker) -> Option<u32> {
+pub fn crowding_milli(worker: &Worker) -> Option<u32> {
     let crowding = crowding(worker, 0);
     crowding.is_finite().then_some((crowding * CROWDING_STEPS) as u32)
 }
@@ -95,7 +95,7 @@
             return score;
         }
         for serving in worker.serving.iter() {
-            match self.pressure.pair(serving, request.image) {
+            match self.interference.pair(serving, request.image) {
                 Pair::Harmful => return f64::INFINITY,
                 Pair::Harmless => {}
                 Pair::Unsure if !self.may_try(worker, serving, request.image) => {
--- a/crates/agatesill_policy/src/fleet/colocation/pressure.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/interference.rs
@@ -113,7 +113,7 @@
 
 /// What is learned about all pairs of images.
 #[derive(Debug, Default)]
-pub struct Pressure {
+pub struct InterferenceModel {
     /// By serving image.
     fits: Vec<Option<Box<Fit>>>,
     /// Place of each filling image in a [`Usage`].
@@ -121,7 +121,7 @@
     known: usize,
 }
 
-impl Pressure {
+impl InterferenceModel {
     /// The place of a filling image in a [`Usage`].
     pub fn place(&mut self, image: ImageId) -> usize {
         let index = usize::from(image);
@@ -167,7 +167,7 @@
     Harmful,
 }
 
-impl Pressure {
+impl InterferenceModel {
     /// What is known of a pair: it is judged by its weight and by the error of that.
     ///
     /// Guards against both ways to be wrong. A pair that presses a little, but for long, looks harmless
@@ -210,7 +210,7 @@
 value_type! {
     /// What is learned about all pairs of images.
     #[derive(Default)]
-    pub struct Learned {
+    pub struct LearnedInterference {
         /// Filling images in the order of their places.
         pub filling: Vec<String>,
         /// Serving images.
@@ -218,9 +218,9 @@
     }
 }
 
-impl Pressure {
+impl InterferenceModel {
     /// What is learned, by the names of images.
-    pub fn learned(&self, images: &Images) -> Learned {
+    pub fn learned(&self, images: &Images) -> LearnedInterference {
         let mut filling = vec![String::new(); self.known.min(MAX_IMAGES)];
         for (image, place) in self.places.iter().enumerate() {
             // Images that share the last place are told by the first of them.
@@ -247,11 +247,11 @@
                 seen: short(&fit.seen),
             })
             .collect();
-        Learned { filling, serving }
+        LearnedInterference { filling, serving }
     }
 
     /// Takes in what an earlier planner learned; what does not fit is left out.
-    pub fn restore(&mut self, learned: &Learned, images: &mut Images) {
+    pub fn restore(&mut self, learned: &LearnedInterference, images: &mut Images) {
         for image in &learned.filling {
             self.place(images.number(image));
         }
--- a/crates/agatesill_policy/src/fleet/colocation/mod.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/mod.rs
@@ -6,13 +6,13 @@
 //! the work of three is worth; slowing everything beside a pressed task wastes the slack of the
 //! harmless ones.
 
-mod balance;
+mod capacity;
+mod interference;
+mod pacing;
 mod pairs;
-mod pressure;
-mod room;
 
-pub use self::pressure::{Learned, LearnedImage};
+pub use self::interference::{LearnedImage, LearnedInterference};
 
+pub(super) use self::capacity::crowding_milli;
+pub(super) use self::interference::InterferenceModel;
 pub(super) use self::pairs::PairCounts;
-pub(super) use self::pressure::Pressure;
-pub(super) use self::room::crowding_now;
--- a/crates/agatesill_policy/src/fleet/colocation/balance.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/pacing.rs
@@ -7,8 +7,8 @@
 use crate::fleet::state::Fleet;
 use crate::fleet::worker::{RunRow, WorkerIndex};
 
-use super::pressure::{HARMFUL, MAX_IMAGES, Pair, Usage, part_of};
-use super::room::cores_for_filling;
+use super::capacity::cores_for_filling;
+use super::interference::{HARMFUL, MAX_IMAGES, Pair, Usage, part_of};
 
 /// Figures cover half a second; polls that come sooner show the same ones again.
 const SAMPLE_US: u64 = 450 * US_PER_MS;
@@ -72,7 +72,12 @@
 
 impl Fleet {
     /// Reacts to the tails that a worker reported.
-    pub(in crate::fleet) fn balance(&mut self, index: WorkerIndex, rows: &[RunRow], now_us: u64) {
+    pub(in crate::fleet) fn update_pacing(
+        &mut self,
+        index: WorkerIndex,
+        rows: &[RunRow],
+        now_us: u64,
+    ) {
         let (servers, fillers) = self.sort_rows(index, rows);
         self.trace(index, &servers, &fillers);
         let worst = servers.iter().map(|server| server.ratio).fold(0.0, f64::max);
@@ -166,10 +171,10 @@
     fn learn(&mut self, servers: &[Server], fillers: &[Filler]) {
         let mut usage: Usage = [0.0; MAX_IMAGES];
         for filler in fillers {
-            usage[self.pressure.place(filler.image)] += filler.part;
+            usage[self.interference.place(filler.image)] += filler.part;
         }
         for server in servers {
-            self.pressure.learn(server.image, &usage, server.ratio);
+            self.interference.learn(server.image, &usage, server.ratio);
         }
     }
 
@@ -184,7 +189,7 @@
             .iter()
             .map(|filler| {
                 let weight = |server: &&Server| {
-                    self.pressure.weight(server.image, filler.image).unwrap_or(0.0)
+                    self.interference.weight(server.image, filler.image).unwrap_or(0.0)
                 };
                 (pressed.iter().map(weight).fold(0.0, f64::max), filler)
             })
@@ -198,8 +203,9 @@
                 break;
             }
             excess -= weight * filler.part;
-            let is_harmful =
-                |server: &&Server| self.pressure.pair(server.image, filler.image) == Pair::Harmful;
+            let is_harmful = |server: &&Server| {
+                self.interference.pair(server.image, filler.image) == Pair::Harmful
+            };
             if pressed.iter().any(is_harmful) {
                 self.move_away(index, filler);
             } else {
@@ -250,7 +256,7 @@
         for filler in fillers.iter().filter(|filler| filler.pace_percent < 100) {
             let weight = servers
                 .iter()
-                .map(|server| self.pressure.weight(server.image, filler.image).unwrap_or(0.0))
+                .map(|server| self.interference.weight(server.image, filler.image).unwrap_or(0.0))
                 .fold(0.0, f64::max);
             let cores = f64::from(PACE_STEP_PERCENT) / 100.0 * self.cores_wanted(filler.at);
             let part = part_of(&self.workers[index as usize], cores * 1_000.0);
--- a/crates/agatesill_policy/src/fleet/colocation/pairs.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/pairs.rs
@@ -21,22 +21,22 @@
     }
 
     /// Takes in the first task of a serving image on a worker that fills with these images.
-    pub fn serving_came(&mut self, serving: ImageId, filling: &ImageCounts) {
+    pub fn serving_added(&mut self, serving: ImageId, filling: &ImageCounts) {
         filling.iter().for_each(|filling| self.came(serving, filling));
     }
 
     /// Takes in the first task of a filling image on a worker that serves with these images.
-    pub fn filling_came(&mut self, filling: ImageId, serving: &ImageCounts) {
+    pub fn filling_added(&mut self, filling: ImageId, serving: &ImageCounts) {
         serving.iter().for_each(|serving| self.came(serving, filling));
     }
 
     /// Takes in that the last task of a serving image has left such a worker.
-    pub fn serving_left(&mut self, serving: ImageId, filling: &ImageCounts) {
+    pub fn serving_removed(&mut self, serving: ImageId, filling: &ImageCounts) {
         filling.iter().for_each(|filling| self.left(serving, filling));
     }
 
     /// Takes in that the last task of a filling image has left such a worker.
-    pub fn filling_left(&mut self, filling: ImageId, serving: &ImageCounts) {
+    pub fn filling_removed(&mut self, filling: ImageId, serving: &ImageCounts) {
         serving.iter().for_each(|serving| self.left(serving, filling));
     }
 
--- a/crates/agatesill_policy/src/fleet/crashes.rs
+++ b/crates/agatesill_policy/src/fleet/crashes.rs
@@ -104,7 +104,7 @@
     }
 
     /// Records the last answer of a worker that went silent, for correlation with other failures.
-    pub(super) fn record_silence(&mut self, index: WorkerIndex, now_us: u64) {
+    pub(super) fn record_unresponsive_worker(&mut self, index: WorkerIndex, now_us: u64) {
         let answered_us = self.workers[index as usize].answered_us;
         self.lost_contacts_us.push_back(answered_us);
         while self
--- a/crates/agatesill_policy/src/fleet/effort.rs
+++ b/crates/agatesill_policy/src/fleet/effort.rs
@@ -29,17 +29,17 @@
     }
 
     /// Counts workers that were examined.
-    pub fn examined(&self, workers: usize) {
+    pub fn count_workers_examined(&self, workers: usize) {
         self.add(|effort| effort.workers_examined += workers as u64);
     }
 
     /// Counts steps that were ranked.
-    pub fn ranked(&self, steps: usize) {
+    pub fn count_steps_ranked(&self, steps: usize) {
         self.add(|effort| effort.steps_ranked += steps as u64);
     }
 
     /// Counts tasks that were weighed for preemption.
-    pub fn weighed(&self, tasks: usize) {
+    pub fn count_tasks_weighed(&self, tasks: usize) {
         self.add(|effort| effort.tasks_weighed += tasks as u64);
     }
 
--- a/crates/agatesill_policy/src/fleet/longest_wait.rs
+++ b/crates/agatesill_policy/src/fleet/longest_wait.rs
@@ -38,7 +38,7 @@
 
 /// Workers with room for a task, by whether they take tasks now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fitting {
+pub struct FittingWorkers {
     /// They take tasks.
     pub open: u32,
     /// Closed for a moment: they failed or rejected what they were to start, or are slow.
@@ -69,7 +69,7 @@
     /// Memory that it is charged for.
     pub memory_mb: u64,
     /// Workers with room for it.
-    pub fitting: Fitting,
+    pub fitting: FittingWorkers,
     /// Most free processors on one open worker.
     pub most_free_milli: u64,
     /// Most processors on one open worker that are free or reserved by tasks that end by themselves.
@@ -164,7 +164,7 @@
             deferral: self.deferral(group, task, now_us),
             cpu_milli: charge.cpu_milli,
             memory_mb: charge.memory_mb,
-            fitting: Fitting::default(),
+            fitting: FittingWorkers::default(),
             most_free_milli: 0,
             most_free_or_plain_milli: 0,
         };
--- a/crates/agatesill_policy/src/fleet/place.rs
+++ b/crates/agatesill_policy/src/fleet/place.rs
@@ -84,7 +84,7 @@
     /// Examines workers for the tasks of a step.
     pub(super) fn search(&self, request: &Request<'_>, now_us: u64) -> Search {
         let candidates = self.to_examine(request);
-        self.effort.examined(candidates.len());
+        self.effort.count_workers_examined(candidates.len());
         let best = candidates
             .iter()
             .enumerate()
@@ -105,7 +105,7 @@
         while let Some(Reverse((score, place))) = search.best.pop() {
             let index = search.candidates[place];
             // It may have been chosen since it was weighed, or tried enough.
-            self.effort.examined(1);
+            self.effort.count_workers_examined(1);
             match self.weigh(request, index, now_us) {
                 Some(now) if now <= score => {
                     search.best.push(Reverse((score, place)));
--- a/crates/agatesill_policy/src/fleet/polls.rs
+++ b/crates/agatesill_policy/src/fleet/polls.rs
@@ -55,12 +55,12 @@
         if poll.ended.len() < MAX_ENDS {
             self.release_absent(index, &present, poll.sent_us, now_us);
         }
-        self.watch_speed(index, now_us);
+        self.detect_slow_worker(index, now_us);
         self.stop_stalled(index, now_us);
         if self.workers[index as usize].entry.is_leaving {
             self.evacuate(index, now_us);
         }
-        self.balance(index, &poll.running, now_us);
+        self.update_pacing(index, &poll.running, now_us);
         self.worker_changed(index);
     }
 
@@ -89,7 +89,7 @@
             log::warn!(event = "worker_silent", worker = worker.entry.id.as_str(),
                 last_answer_ms = now_us.saturating_sub(worker.answered_us) / US_PER_MS,
                 tasks = worker.tasks.len(); "");
-            self.record_silence(index, now_us);
+            self.record_unresponsive_worker(index, now_us);
             self.worker_changed(index);
         }
     }
@@ -259,7 +259,7 @@
             worker = self.workers[index as usize].entry.id.as_str(), cause:? = end.cause,
             ran_ms = ran_us / US_PER_MS; "");
         if end.cause == EndCause::Done {
-            self.sample_end(index, task_ref, measured_us);
+            self.sample_completed_run(index, task_ref, measured_us);
         }
         if matches!(end.cause, EndCause::Done | EndCause::Failed) {
             self.clear_crashes(task_ref);
--- a/crates/agatesill_policy/src/fleet/preempt.rs
+++ b/crates/agatesill_policy/src/fleet/preempt.rs
@@ -112,7 +112,7 @@
     pub(super) fn is_held_back(&self, group: TaskGroup, now_us: u64) -> bool {
         let Some(job) = self.job(group.job) else { return false };
         let is_held = |task: &Task| task.preempted && task.idle_us(now_us) < HOLD_US;
-        self.misses_little(job, group)
+        self.is_within_allowance(job, group)
             && job
                 .tasks_of(group.occurrence, group.step)
                 .map(|task| &job.tasks[task as usize])
@@ -121,7 +121,7 @@
     }
 
     /// Whether a lasting step misses no more tasks than it may, so that it can wait for urgent ones.
-    pub(super) fn misses_little(&self, job: &Job, group: TaskGroup) -> bool {
+    pub(super) fn is_within_allowance(&self, job: &Job, group: TaskGroup) -> bool {
         let allowance = allowance(&job.spec.steps[group.step as usize]);
         allowance > 0 && away(job, group) <= allowance
     }
@@ -157,7 +157,7 @@
             .map(|offset| ((from + offset) % self.workers.len()) as WorkerIndex)
             .map(|index| (index, &self.workers[index as usize]))
             .filter(|(_, worker)| worker.is_open(now_us))
-            .inspect(|(_, worker)| self.effort.weighed(worker.tasks.len()))
+            .inspect(|(_, worker)| self.effort.count_tasks_weighed(worker.tasks.len()))
             .flat_map(|(index, worker)| worker.tasks.iter().map(move |at| (index, *at)))
             .filter(|(_, at)| self.may_be_preempted(*at, now_us))
             .filter_map(|(worker, at)| self.as_candidate(worker, at))
--- a/crates/agatesill_policy/src/fleet/ranking.rs
+++ b/crates/agatesill_policy/src/fleet/ranking.rs
@@ -63,7 +63,7 @@
     pub(super) fn ranked(&self, now_us: u64, now_ms: u64) -> Vec<Ranked> {
         let mut ranked: Vec<Ranked> =
             self.waiting.iter().filter_map(|group| self.rank(*group, now_us, now_ms)).collect();
-        self.effort.ranked(ranked.len());
+        self.effort.count_steps_ranked(ranked.len());
         ranked.sort_by(|a, b| {
             a.priority
                 .cmp(&b.priority)
@@ -77,7 +77,7 @@
         let job = self.job(group.job).filter(|job| job.phase == JobPhase::Active)?;
         let terms = self.terms(job);
         let density = if job.spec.steps[group.step as usize].is_lasting {
-            let misses_little = self.misses_little(job, group);
+            let misses_little = self.is_within_allowance(job, group);
             let yield_us =
                 if misses_little { WITHIN_ALLOWANCE_YIELD_US } else { OVER_ALLOWANCE_YIELD_US };
             let yields = waited_us(job, group, now_us) < yield_us;
--- a/crates/agatesill_policy/src/fleet/comeback.rs
+++ b/crates/agatesill_policy/src/fleet/retry_after.rs
@@ -11,6 +11,6 @@
 
 /// The time after which a caller should come back in an outage that has lasted for `away_ms`: nothing
 /// else being known, it lasts as long again.
-pub fn comeback_ms(away_ms: u64) -> u32 {
+pub fn retry_after_ms(away_ms: u64) -> u32 {
     away_ms.clamp(LEAST_MS, MOST_MS) as u32
 }
--- a/crates/agatesill_policy/src/fleet/slow.rs
+++ b/crates/agatesill_policy/src/fleet/slow.rs
@@ -99,7 +99,7 @@
     }
 
     /// Takes in how long a run took that is done now.
-    pub(super) fn sample_end(&mut self, index: WorkerIndex, at: TaskRef, ran_us: u64) {
+    pub(super) fn sample_completed_run(&mut self, index: WorkerIndex, at: TaskRef, ran_us: u64) {
         let Some(job) = self.job(at.job) else { return };
         let done = f64::from(100 - job.tasks[at.task as usize].start_percent.min(100)) / 100.0;
         if !job.step(at.task).fills && ran_us > 0 && self.is_comparable(index, at) {
@@ -138,7 +138,7 @@
 
     /// Judges a worker by the samples of its newest answer. One that turned slow gets no new tasks for a
     /// while, and what would take too long there starts elsewhere.
-    pub(super) fn watch_speed(&mut self, index: WorkerIndex, now_us: u64) {
+    pub(super) fn detect_slow_worker(&mut self, index: WorkerIndex, now_us: u64) {
         let worker = &mut self.workers[index as usize];
         let seen = &mut worker.speed;
         let (slow, usual) = (std::mem::take(&mut seen.slow), std::mem::take(&mut seen.usual));
--- a/crates/agatesill_policy/src/fleet/state.rs
+++ b/crates/agatesill_policy/src/fleet/state.rs
@@ -4,7 +4,7 @@
 
 use super::advice::{Advice, AdviceQuestion};
 use super::capacity_index::CapacityIndex;
-use super::colocation::{PairCounts, Pressure};
+use super::colocation::{InterferenceModel, PairCounts};
 use super::effort::{Effort, EffortCounter};
 use super::images::Images;
 use super::job::{Job, JobId, JobPhase, JobSpec, QueueTerms, TaskRef, TaskState};
@@ -94,7 +94,7 @@
     pub(super) retired: HashMap<JobId, (JobPhase, u64)>,
     pub(super) pending_cancels: HashSet<JobId>,
     pub(super) images: Images,
-    pub(super) pressure: Pressure,
+    pub(super) interference: InterferenceModel,
     pub(super) pairs: PairCounts,
     pub(super) capacity_index: CapacityIndex,
     pub(super) preemption: Preemption,
@@ -131,7 +131,7 @@
             retired: HashMap::new(),
             pending_cancels: HashSet::new(),
             images: Images::default(),
-            pressure: Pressure::default(),
+            interference: InterferenceModel::default(),
             pairs: PairCounts::default(),
             capacity_index: CapacityIndex::default(),
             preemption: Preemption::default(),
@@ -177,7 +177,7 @@
         }
         let was_cancelled = self.pending_cancels.remove(&spec.id);
         let mut job = Job::new(spec, now_us);
-        job.accepted_us = self.moment_us(job.spec.accepted_at_ms, now_us);
+        job.accepted_us = self.monotonic_us(job.spec.accepted_at_ms, now_us);
         let slot = self.insert(job);
         self.open_occurrences(slot, now_us);
         if was_cancelled {
@@ -330,9 +330,9 @@
         let worker = &mut self.workers[worker as usize];
         worker.isolated_tasks += u32::from(is_isolated);
         if is_serving && worker.serving.add(image) {
-            self.pairs.serving_came(image, &worker.filling);
+            self.pairs.serving_added(image, &worker.filling);
         } else if fills && !is_serving && worker.filling.add(image) {
-            self.pairs.filling_came(image, &worker.serving);
+            self.pairs.filling_added(image, &worker.serving);
         }
         worker.used = worker.used.plus(&need);
         worker.best_effort_cpu_milli += if fills { cpu } else { 0 };
@@ -356,9 +356,9 @@
             let image = job.images[step_index as usize];
             let is_serving = step.target_ms > 0;
             if is_serving && worker.serving.remove(image) {
-                self.pairs.serving_left(image, &worker.filling);
+                self.pairs.serving_removed(image, &worker.filling);
             } else if step.fills && !is_serving && worker.filling.remove(image) {
-                self.pairs.filling_left(image, &worker.serving);
+                self.pairs.filling_removed(image, &worker.serving);
             }
             if step.fills {
                 worker.best_effort_cpu_milli =
--- a/crates/agatesill_policy/src/fleet/takeover.rs
+++ b/crates/agatesill_policy/src/fleet/takeover.rs
@@ -1,7 +1,7 @@
 //! Rebuilding of the ledger from the stored records after a takeover.
 
 use super::US_PER_MS;
-use super::colocation::Learned;
+use super::colocation::LearnedInterference;
 use super::job::{Job, JobPhase, JobSpec, TaskRef, TaskState};
 use super::record::{ProgressRecord, TaskRecord};
 use super::state::Fleet;
@@ -112,13 +112,13 @@
 
     /// Returns the learned behaviour of images, for the next planner. Without it each takeover
     /// would try all harmful pairs again.
-    pub fn learned(&self) -> Learned {
-        self.pressure.learned(&self.images)
+    pub fn learned(&self) -> LearnedInterference {
+        self.interference.learned(&self.images)
     }
 
     /// Restores the behaviour of images learned by the previous planner.
-    pub fn restore_learned(&mut self, learned: &Learned) {
-        self.pressure.restore(learned, &mut self.images);
+    pub fn restore_learned(&mut self, learned: &LearnedInterference) {
+        self.interference.restore(learned, &mut self.images);
     }
 
     /// Completes the restore. Runs on unresponsive workers may continue until the longest lease
--- a/crates/agatesill_policy/tests/fleet_advice.rs
+++ b/crates/agatesill_policy/tests/fleet_advice.rs
@@ -24,7 +24,7 @@
     assert!(rig.plan().is_empty());
     assert!(rig.fleet.take_questions().is_empty(), "one question at a time");
     let good = [("w22".to_owned(), "leave".to_owned())];
-    rig.fleet.advised(&questions[0], Some(&good), 3_000, rig.now_us);
+    rig.fleet.advice_answered(&questions[0], Some(&good), 3_000, rig.now_us);
     let orders = rig.plan();
     assert_eq!(orders.len(), 2);
     for order in &orders {
@@ -41,15 +41,15 @@
     rig.fleet.accept(advised_job(1), rig.now_us);
     rig.plan();
     let lost = rig.fleet.take_questions().remove(0);
-    rig.fleet.advised(&lost, None, 0, rig.now_us);
+    rig.fleet.advice_answered(&lost, None, 0, rig.now_us);
     rig.plan();
     let question = rig.fleet.take_questions().remove(0);
     let good = [("w1".to_owned(), "leave".to_owned())];
-    rig.fleet.advised(&question, Some(&good), 1_000, rig.now_us);
+    rig.fleet.advice_answered(&question, Some(&good), 1_000, rig.now_us);
     rig.advance_ms(900);
     assert!(rig.plan().is_empty(), "too little of its time is left");
     let again = rig.fleet.take_questions().remove(0);
-    rig.fleet.advised(&again, Some(&good), 1_000, rig.now_us);
+    rig.fleet.advice_answered(&again, Some(&good), 1_000, rig.now_us);
     let start = rig.plan().remove(0);
     rig.fleet.order_answered(&start, OrderOutcome::Done, rig.now_us);
 }
--- a/crates/agatesill_policy/tests/fleet_comeback.rs
+++ b/crates/agatesill_policy/tests/fleet_retry_after.rs
@@ -1,6 +1,6 @@
 //! When refused callers come back.
 
-use agatesill_policy::fleet::comeback_ms;
+use agatesill_policy::fleet::retry_after_ms;
 
 /// When a caller who is told each time when to come back tries, counted from the start of an outage.
 fn tries_ms(first_ms: u64, retries: usize, after_ms: impl Fn(u64) -> u64) -> Vec<u64> {
@@ -19,7 +19,7 @@
                 .filter(|at| tries_ms(*at, 4, after_ms).iter().all(|t| *t < outage_ms))
                 .count()
         };
-        assert_eq!(lost(|away_ms| u64::from(comeback_ms(away_ms))), 0, "{outage_ms}");
+        assert_eq!(lost(|away_ms| u64::from(retry_after_ms(away_ms))), 0, "{outage_ms}");
         if outage_ms > 4_000 {
             assert!(lost(|_| 1_000) > 0, "a second each time is not enough");
         }
@@ -30,6 +30,6 @@
 #[test]
 fn nobody_waits_longer_than_the_outage_has_lasted() {
     for away_ms in [0, 300, 1_000, 3_000, 60_000] {
-        assert!(u64::from(comeback_ms(away_ms)) <= away_ms.clamp(1_000, 8_000));
+        assert!(u64::from(retry_after_ms(away_ms)) <= away_ms.clamp(1_000, 8_000));
     }
 }
--- a/crates/agatesilld/src/fleet/commits.rs
+++ b/crates/agatesilld/src/fleet/commits.rs
@@ -6,7 +6,9 @@
 
 use agatesill_coord::lease::owner_key;
 use agatesill_platform::zones;
-use agatesill_policy::fleet::{ClosedZone, JobId, JobPhase, JobWrite, Learned, ProgressRecord};
+use agatesill_policy::fleet::{
+    ClosedZone, JobId, JobPhase, JobWrite, LearnedInterference, ProgressRecord,
+};
 use agatesill_wire::platform::{Entry, KeyVersion, Put, StoreCall};
 use agatesill_wire::prelude::*;
 use tokio::time::Instant;
@@ -147,7 +149,7 @@
 
 /// Stores what is learned about images, if this daemon still owns the range. A loss costs the
 /// successor some seconds of learning and nothing else.
-pub async fn save_learned(site: Arc<Site>, epoch: u64, learned: Learned) {
+pub async fn save_learned(site: Arc<Site>, epoch: u64, learned: LearnedInterference) {
     let value = match serde_json::to_string(&learned) {
         Ok(value) => value,
         Err(error) => return log::error!(event = "learned_unencodable"; "{error}"),
--- a/crates/agatesilld/src/fleet/front.rs
+++ b/crates/agatesilld/src/fleet/front.rs
@@ -5,7 +5,7 @@
 
 use agatesill_platform::front::{self, FrontCall};
 use agatesill_platform::prelude::*;
-use agatesill_policy::fleet::comeback_ms;
+use agatesill_policy::fleet::retry_after_ms;
 use agatesill_wire::fleet::FleetWrite;
 use agatesill_wire::prelude::*;
 use bytes::Bytes;
@@ -145,7 +145,7 @@
 
 /// When to come back while the store is away.
 fn store_comeback_ms(site: &Site) -> u32 {
-    comeback_ms(site.store.unavailable_for().as_millis() as u64)
+    retry_after_ms(site.store.unavailable_for().as_millis() as u64)
 }
 
 fn unavailable(what: &str, retry_after_ms: u32) -> Error {
--- a/crates/agatesilld/src/fleet/planner.rs
+++ b/crates/agatesilld/src/fleet/planner.rs
@@ -391,7 +391,7 @@
             Event::Advised(question, advised) => {
                 let good = advised.as_ref().map(|advised| advised.good.as_slice());
                 let valid_ms = advised.as_ref().map_or(0, |advised| advised.valid_ms);
-                self.fleet.advised(&question, good, valid_ms, now_us);
+                self.fleet.advice_answered(&question, good, valid_ms, now_us);
             }
             Event::Committed(committed) => self.committed(committed),
             Event::Queues(queues) => self.fleet.set_queues(queues),
