--- a/crates/agatesill_policy/src/fleet/colocation/capacity.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/capacity.rs
@@ -1,115 +1,133 @@
-//! Where a task that fills may go, and what it would find there.
+//! Capacity of workers for best-effort tasks, and the placement score of best-effort tasks.
 
 use crate::fleet::images::ImageId;
-use crate::fleet::place::Request;
+use crate::fleet::place::PlacementRequest;
 use crate::fleet::state::Fleet;
 use crate::fleet::worker::Worker;
 
-use super::interference::Pair;
-
-/// Share of the reserved processors that lasting tasks use: they declare about twice their load.
-const USED_SHARE: f64 = 0.55;
-
-/// Added for a worker with lasting tasks, for each mean tail over target: a crowded worker without any
-/// is as good up to this much. Of two workers the one whose lasting tasks have less load now is better
-/// by far, as tails rise steeply with load.
-const TAIL_WEIGHT: f64 = 0.6;
-
-/// Added for each serving image beside which the filling image has not been seen yet.
-const UNKNOWN_PAIR: f64 = 0.25;
-
-/// A worker whose serving tasks have tails above this share of their target takes no more.
-const NEAR_TARGET: f64 = 0.8;
-
-/// Part of a worker with lasting tasks that may be asked for when their mean tail is [`LOW_TAIL`].
-/// Work that fills takes only what others leave, so asking for somewhat more than there is costs the
-/// serving tasks nothing.
-const FULL_AT_LOW_TAIL: f64 = 1.25;
-
-/// Mean tail over target of lasting tasks at the low end of their load.
-const LOW_TAIL: f64 = 0.3;
-
-/// By how much less of the worker may be asked for for each mean tail above that. The load of lasting
-/// tasks swings by half within seconds.
-const LESS_FOR_TAIL: f64 = 1.0;
-
-/// Tasks of one image that may run on one worker beside a serving image before the pair is known.
-const TRIAL_TASKS: u32 = 1;
-
-/// Workers on which an image runs at once beside a serving image before the pair is known. One more
-/// sample tells a pair that harms; tried wherever its serving image runs, each harmful pair would press
-/// many workers at once. Fewer learn too slowly while work waits.
-const TRIAL_WORKERS: u32 = 3;
-
-/// A worker on which tasks that fill would get less than this part of their processors takes no
-/// more: the work waits better than it crawls.
-const MOST_CROWDED: f64 = 2.5;
-
-/// Processors that tasks that fill may use on a worker with lasting tasks at their present load.
-pub(super) fn cores_for_filling(worker: &Worker) -> f64 {
+use super::interference::PairClass;
+
+/// Share of their reserved CPU that long-running tasks use; they reserve about twice their load.
+const LONG_RUNNING_USED_SHARE: f64 = 0.55;
+
+/// Penalty of a worker with long-running tasks, per unit of their mean tail ratio (tail latency
+/// over target).
+///
+/// A worker without long-running tasks is preferred until it is more crowded by this much. Of two
+/// workers with long-running tasks, the one with less load is clearly preferred, because tails rise
+/// steeply with load.
+const MEAN_TAIL_PENALTY: f64 = 0.6;
+
+/// Penalty for each serving image on the worker whose pair with the best-effort image is not
+/// classified yet.
+const UNKNOWN_PAIR_PENALTY: f64 = 0.25;
+
+/// Tail ratio of any serving task above which its worker accepts no further best-effort tasks.
+const MAX_TAIL_RATIO: f64 = 0.8;
+
+/// Share of a worker with long-running tasks that may be requested in total at a mean tail ratio of
+/// [`LOW_TAIL_RATIO`].
+///
+/// Best-effort tasks only use CPU that others leave unused, so requesting somewhat more than the
+/// worker has does not affect the serving tasks.
+const SHARE_AT_LOW_TAIL: f64 = 1.25;
+
+/// Mean tail ratio of long-running tasks at the low end of their load.
+const LOW_TAIL_RATIO: f64 = 0.3;
+
+/// Decrease of the share that may be requested, per unit of mean tail ratio above
+/// [`LOW_TAIL_RATIO`]. The load of long-running tasks varies by half within seconds.
+const SHARE_DECREASE_PER_TAIL: f64 = 1.0;
+
+/// Maximum number of tasks of an image on one worker beside a serving image while the pair is not
+/// classified.
+const MAX_TRIAL_TASKS: u32 = 1;
+
+/// Maximum number of workers with a pair at once while the pair is not classified.
+///
+/// One more sample identifies a harmful pair. Without a limit, each harmful pair would affect all
+/// workers of its serving image at once. With fewer workers, pairs are classified too slowly while
+/// work waits.
+const MAX_TRIAL_WORKERS: u32 = 3;
+
+/// Maximum ratio of the CPU requested by best-effort tasks to the CPU left for them. Beyond it a
+/// worker accepts no more, because tasks that get so little CPU are better left waiting.
+const MAX_CROWDING: f64 = 2.5;
+
+/// Number of CPUs that best-effort tasks may request on a worker with long-running tasks, given the
+/// current load of these tasks.
+pub(super) fn best_effort_cores(worker: &Worker) -> f64 {
     let capacity = worker.entry.capacity.cpu_milli as f64;
     let lasting = worker.long_running_cpu_milli as f64;
     let plain = worker.used.cpu_milli as f64 - lasting;
-    let most = FULL_AT_LOW_TAIL - (worker.mean_tail - LOW_TAIL) * LESS_FOR_TAIL;
-    (capacity * most - plain - lasting * USED_SHARE) / 1_000.0
+    let max_share =
+        SHARE_AT_LOW_TAIL - (worker.mean_tail - LOW_TAIL_RATIO) * SHARE_DECREASE_PER_TAIL;
+    (capacity * max_share - plain - lasting * LONG_RUNNING_USED_SHARE) / 1_000.0
 }
 
-/// Processors wanted by tasks that fill over those left to them, and a step for a worker with lasting
-/// tasks; infinite where no more may come.
-fn crowding(worker: &Worker, more_milli: u64) -> f64 {
+/// Ratio of the CPU requested by best-effort tasks to the CPU left for them, plus a penalty for the
+/// load of long-running tasks. Infinite if the worker accepts no more.
+fn crowding(worker: &Worker, added_milli: u64) -> f64 {
     let capacity = worker.entry.capacity.cpu_milli as f64;
-    let wanted = (worker.best_effort_cpu_milli + more_milli) as f64;
+    let requested = (worker.best_effort_cpu_milli + added_milli) as f64;
     let lasting = worker.long_running_cpu_milli as f64;
     let plain = worker.used.cpu_milli as f64 - lasting;
-    let crowding = wanted / (capacity - plain - lasting * USED_SHARE).max(1.0);
-    if crowding > MOST_CROWDED && worker.best_effort_cpu_milli > 0 {
+    let crowding = requested / (capacity - plain - lasting * LONG_RUNNING_USED_SHARE).max(1.0);
+    if crowding > MAX_CROWDING && worker.best_effort_cpu_milli > 0 {
         return f64::INFINITY;
     }
     if worker.lasting == 0 {
         return crowding;
     }
-    if worker.worst_tail > NEAR_TARGET || wanted > cores_for_filling(worker) * 1_000.0 {
+    if worker.worst_tail > MAX_TAIL_RATIO || requested > best_effort_cores(worker) * 1_000.0 {
         return f64::INFINITY;
     }
-    crowding + worker.mean_tail * TAIL_WEIGHT
+    crowding + worker.mean_tail * MEAN_TAIL_PENALTY
 }
 
-/// Steps of the order of workers by crowding in one processor asked for each processor left.
-const CROWDING_STEPS: f64 = 1_000.0;
+/// Integer steps per unit of crowding in the ordering of workers.
+const CROWDING_SCALE: f64 = 1_000.0;
 
-/// How crowded a worker is for tasks that fill, in thousandths; `None` if it takes no more.
+/// Returns the crowding of a worker in thousandths, or `None` if the worker accepts no more
+/// best-effort tasks.
 pub fn crowding_milli(worker: &Worker) -> Option<u32> {
     let crowding = crowding(worker, 0);
-    crowding.is_finite().then_some((crowding * CROWDING_STEPS) as u32)
+    crowding.is_finite().then_some((crowding * CROWDING_SCALE) as u32)
 }
 
 impl Fleet {
-    /// How well a task that fills goes to a worker; infinite where it must not.
+    /// Returns the score of a worker for a best-effort task; infinite if the worker must not run
+    /// it.
     ///
-    /// To how crowded it is comes a step for each pair of images that is not known. A pair known to be
-    /// harmful is out of the question: a serving task that is late to its own callers costs more than
-    /// the work beside it is worth.
-    pub(in crate::fleet) fn filling_score(&self, request: &Request<'_>, worker: &Worker) -> f64 {
+    /// The score is the crowding of the worker plus a penalty for each pair of images that is not
+    /// classified. Workers with a harmful pair are excluded, because a serving task that misses its
+    /// target costs more than the work beside it is worth.
+    pub(in crate::fleet) fn best_effort_score(
+        &self,
+        request: &PlacementRequest<'_>,
+        worker: &Worker,
+    ) -> f64 {
         let mut score = crowding(worker, request.step.need.cpu_milli);
         if worker.lasting == 0 || !score.is_finite() {
             return score;
         }
         for serving in worker.serving.iter() {
-            match self.interference.pair(serving, request.image) {
-                Pair::Harmful => return f64::INFINITY,
-                Pair::Harmless => {}
-                Pair::Unsure if !self.may_try(worker, serving, request.image) => {
+            match self.interference.classify(serving, request.image) {
+                PairClass::Harmful => return f64::INFINITY,
+                PairClass::Harmless => {}
+                PairClass::Unknown if !self.may_run_trial(worker, serving, request.image) => {
                     return f64::INFINITY;
                 }
-                Pair::Unsure => score += UNKNOWN_PAIR,
+                PairClass::Unknown => score += UNKNOWN_PAIR_PENALTY,
             }
         }
         score
     }
 
-    /// Whether one more task of an image may run beside a serving image of which it is not known
-    /// yet whether it harms it.
-    fn may_try(&self, worker: &Worker, serving: ImageId, filling: ImageId) -> bool {
-        worker.filling.of(filling) < TRIAL_TASKS && self.pairs.of(serving, filling) < TRIAL_WORKERS
+    /// Whether one more task of a best-effort image may be started beside a serving image while the
+    /// pair is not classified.
+    fn may_run_trial(&self, worker: &Worker, serving: ImageId, filling: ImageId) -> bool {
+        worker.filling.of(filling) < MAX_TRIAL_TASKS
+            && self.pairs.of(serving, filling) < MAX_TRIAL_WORKERS
     }
 }
--- a/crates/agatesill_policy/src/fleet/colocation/mod.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/mod.rs
@@ -1,10 +1,10 @@
-//! Tasks that fill beside tasks that serve.
+//! Colocation of best-effort tasks with serving tasks.
 //!
-//! Load pattern: batch tasks run on processors that lasting tasks reserve and do not use. Most
-//! images do no harm there; each harmful one raises the tails of a third of the serving images,
-//! twenty times within a second. Without this module the harm of one such task costs more than
-//! the work of three is worth; slowing everything beside a pressed task wastes the slack of the
-//! harmless ones.
+//! Load pattern: batch tasks run on CPUs that long-running tasks reserve and do not use. Most
+//! images are harmless there. Each harmful one raises the tail latency of a third of the serving
+//! images twentyfold within a second. Without this module, the harm done by one such task costs
+//! more than the work of three is worth. Slowing every task beside an affected serving task would
+//! waste the slack used by the harmless ones.
 
 mod capacity;
 mod interference;
--- a/crates/agatesill_policy/src/fleet/colocation/pacing.rs
+++ b/crates/agatesill_policy/src/fleet/colocation/pacing.rs
@@ -1,4 +1,7 @@
-//! What a report of tails changes: what is learned, and the pace of tasks that fill.
+//! Reaction to reported tails: updates the interference model and the pace of best-effort tasks.
+//!
+//! The pace is the percentage of its CPU that a best-effort task may use. Tail ratios are tail
+//! latencies over their targets.
 
 use crate::fleet::US_PER_MS;
 use crate::fleet::images::ImageId;
@@ -7,57 +10,61 @@
 use crate::fleet::state::Fleet;
 use crate::fleet::worker::{RunRow, WorkerIndex};
 
-use super::capacity::cores_for_filling;
-use super::interference::{HARMFUL, MAX_IMAGES, Pair, Usage, part_of};
+use super::capacity::best_effort_cores;
+use super::interference::{HARMFUL_WEIGHT, MAX_IMAGES, PairClass, Usage, usage_units};
 
-/// Figures cover half a second; polls that come sooner show the same ones again.
-const SAMPLE_US: u64 = 450 * US_PER_MS;
+/// Minimum time between two samples of a worker. Reported figures cover half a second, so earlier
+/// polls return the same figures again.
+const SAMPLE_INTERVAL_US: u64 = 450 * US_PER_MS;
 
-/// Tail over target from which what presses most is slowed.
-const PRESSED: f64 = 1.0;
+/// Tail ratio above which the most harmful tasks are slowed.
+const SLOWING_TAIL_RATIO: f64 = 1.0;
 
-/// Tail over target below which what was slowed is let go again.
-const RELAXED: f64 = 0.85;
+/// Tail ratio below which slowed tasks are sped up again.
+const RECOVERED_TAIL_RATIO: f64 = 0.85;
 
-/// Tail over target that slowing aims at.
-const AIM: f64 = 0.75;
+/// Tail ratio that slowing aims at.
+const TARGET_TAIL_RATIO: f64 = 0.75;
 
-/// Mean tail over target from which a worker can be about to be full.
-const LOADED: f64 = 0.5;
+/// Mean tail ratio above which a worker may be close to saturation.
+const LOADED_MEAN_TAIL_RATIO: f64 = 0.5;
 
-/// By how much the room for tasks that fill may be passed before they are slowed: what was placed by
-/// one poll need not be slowed by the next.
-const CROWDED: f64 = 1.25;
+/// Factor by which best-effort tasks may exceed their capacity before they are slowed, so that
+/// tasks placed after one poll are not slowed after the next.
+const CROWDING_TOLERANCE: f64 = 1.25;
 
-/// What presses less than this share of the most pressing task is left alone for now: two images
-/// that were seen together share the blame until one of them has gone.
-const BLAME_SHARE: f64 = 0.5;
+/// Tasks whose effect is below this share of the largest effect are not slowed yet: images that ran
+/// together share the blame until one of them is removed.
+const MIN_BLAME_SHARE: f64 = 0.5;
 
-/// A step back towards full pace.
-const PACE_STEP_PERCENT: u32 = 50;
+/// Increase of the pace per poll while a task is sped up again.
+const SPEED_UP_STEP_PERCENT: u32 = 50;
 
-/// Pace of everything while the cause of a pressed task is not known.
-const SLOW_PERCENT: u32 = 25;
+/// Pace of all best-effort tasks of a worker when the cause of its high tails is unknown; also the
+/// granularity of slowing to the available capacity.
+const SLOWED_PACE_PERCENT: u32 = 25;
 
-/// Part of the allowed time over target after which everything that fills on the worker stands
-/// still. Half of it is left for the order, for the pace to take effect and for a lost answer.
-const STAND_STILL_PERCENT: u64 = 40;
+/// Percentage of the allowed time over target after which all best-effort tasks of the worker are
+/// paced to zero. Half of the time is left for the order, for the pace to take effect and for a
+/// lost answer.
+const PAUSE_ALL_AFTER_PERCENT: u64 = 40;
 
-/// Part after which it is slowed to a quarter, whatever is known of its images.
-const SLOW_ALL_PERCENT: u64 = 20;
+/// Percentage of the allowed time over target after which all best-effort tasks of the worker are
+/// slowed to a quarter, whatever the model says of their images.
+const SLOW_ALL_AFTER_PERCENT: u64 = 20;
 
-/// How long a task is slowed before it is moved: three polls, after which tails have come down if
-/// it was the cause. A move costs a stop and a resumption, about a second.
-const SLOWED_LIMIT_US: u64 = 1_600 * US_PER_MS;
+/// Time a task is slowed before it is moved: three polls, after which tails have come down if the
+/// task was the cause. A move costs a stop and a resumption, about a second.
+const MAX_SLOWED_US: u64 = 1_600 * US_PER_MS;
 
-/// A filling task on a worker.
-struct Filler {
-    at: TaskRef,
+/// A best-effort task on a worker.
+struct BestEffortTask {
+    task_ref: TaskRef,
     image: ImageId,
-    /// Processors in use.
+    /// Number of CPUs in use.
     cores: f64,
-    /// The same as a part of the worker, in the unit of the fit.
-    part: f64,
+    /// CPU in use in the unit of the interference model, 1/32 of the worker.
+    usage: f64,
     pace_percent: u32,
     saves_progress: bool,
     percent: u32,
@@ -65,62 +72,69 @@
 }
 
 /// A serving task on a worker.
-struct Server {
+struct ServingTask {
     image: ImageId,
     ratio: f64,
 }
 
 impl Fleet {
-    /// Reacts to the tails that a worker reported.
+    /// Updates the interference model and the pace of best-effort tasks from a worker's poll.
     pub(in crate::fleet) fn update_pacing(
         &mut self,
         index: WorkerIndex,
         rows: &[RunRow],
         now_us: u64,
     ) {
-        let (servers, fillers) = self.sort_rows(index, rows);
-        self.trace(index, &servers, &fillers);
-        let worst = servers.iter().map(|server| server.ratio).fold(0.0, f64::max);
+        let (serving, best_effort) = self.classify_rows(index, rows);
+        self.log_colocation(index, &serving, &best_effort);
+        let worst = serving.iter().map(|serving_task| serving_task.ratio).fold(0.0, f64::max);
         let worker = &mut self.workers[index as usize];
         worker.worst_tail = worst;
-        let sum: f64 = servers.iter().map(|server| server.ratio).sum();
-        worker.mean_tail = sum / servers.len().max(1) as f64;
-        if servers.is_empty() {
+        let sum: f64 = serving.iter().map(|serving_task| serving_task.ratio).sum();
+        worker.mean_tail = sum / serving.len().max(1) as f64;
+        if serving.is_empty() {
             worker.over_since_us = 0;
             return;
         }
-        if now_us.saturating_sub(worker.sampled_us) < SAMPLE_US {
+        if now_us.saturating_sub(worker.sampled_us) < SAMPLE_INTERVAL_US {
             return;
         }
         worker.sampled_us = now_us;
-        self.learn(&servers, &fillers);
-        if worst > PRESSED {
-            if !self.relieve(index, &servers, &fillers) {
-                self.thin_out(index, &fillers);
+        self.learn(&serving, &best_effort);
+        if worst > SLOWING_TAIL_RATIO {
+            if !self.slow_harmful_tasks(index, &serving, &best_effort) {
+                self.slow_to_capacity(index, &best_effort);
             }
-        } else if self.is_crowded(index, &fillers) {
-            self.thin_out(index, &fillers);
-        } else if worst < RELAXED {
-            self.let_go(index, &servers, &fillers, worst);
+        } else if self.is_crowded(index, &best_effort) {
+            self.slow_to_capacity(index, &best_effort);
+        } else if worst < RECOVERED_TAIL_RATIO {
+            self.speed_up(index, &serving, &best_effort, worst);
         }
-        self.guard(index, &fillers, worst, now_us);
-        self.move_slowed(index, &fillers, now_us);
+        self.limit_harm(index, &best_effort, worst, now_us);
+        self.move_long_slowed(index, &best_effort, now_us);
     }
 
-    /// Moves what has been slowed for long and can resume elsewhere: beside a serving task at the
-    /// height of its own load it would stand still for seconds.
-    fn move_slowed(&mut self, index: WorkerIndex, fillers: &[Filler], now_us: u64) {
-        let is_stuck = |filler: &&Filler| {
-            filler.slowed_us > 0
-                && filler.saves_progress
-                && now_us - filler.slowed_us > SLOWED_LIMIT_US
+    /// Moves tasks that have been slowed for too long and can resume from a checkpoint. Beside a
+    /// serving task at its own peak load they would be paused for seconds.
+    fn move_long_slowed(
+        &mut self,
+        index: WorkerIndex,
+        best_effort: &[BestEffortTask],
+        now_us: u64,
+    ) {
+        let is_movable = |task: &&BestEffortTask| {
+            task.slowed_us > 0 && task.saves_progress && now_us - task.slowed_us > MAX_SLOWED_US
         };
-        fillers.iter().filter(is_stuck).for_each(|filler| self.move_away(index, filler));
+        best_effort.iter().filter(is_movable).for_each(|task| self.move_or_pause(index, task));
     }
 
-    fn sort_rows(&self, index: WorkerIndex, rows: &[RunRow]) -> (Vec<Server>, Vec<Filler>) {
+    fn classify_rows(
+        &self,
+        index: WorkerIndex,
+        rows: &[RunRow],
+    ) -> (Vec<ServingTask>, Vec<BestEffortTask>) {
         let worker = &self.workers[index as usize];
-        let (mut servers, mut fillers) = (Vec::new(), Vec::new());
+        let (mut serving, mut best_effort) = (Vec::new(), Vec::new());
         for row in rows {
             let Some(slot) = self.by_id.get(&row.task.job).copied() else { continue };
             let Some(job) = self.job(slot) else { continue };
@@ -133,13 +147,13 @@
             }
             if step.target_ms > 0 && row.percent >= 100 {
                 let ratio = row.figure as f64 / step.target_ms as f64;
-                servers.push(Server { image: job.image(place), ratio });
+                serving.push(ServingTask { image: job.image(place), ratio });
             } else if step.fills {
-                fillers.push(Filler {
-                    at: TaskRef { job: slot, task: place },
+                best_effort.push(BestEffortTask {
+                    task_ref: TaskRef { job: slot, task: place },
                     image: job.image(place),
                     cores: row.figure as f64 / 1_000.0,
-                    part: part_of(worker, row.figure as f64),
+                    usage: usage_units(worker, row.figure as f64),
                     pace_percent: task.pace_percent,
                     saves_progress: step.saves_progress,
                     percent: row.percent,
@@ -147,18 +161,23 @@
                 });
             }
         }
-        (servers, fillers)
+        (serving, best_effort)
     }
 
-    fn trace(&self, index: WorkerIndex, servers: &[Server], fillers: &[Filler]) {
-        if servers.is_empty() || !log::log_enabled!(log::Level::Debug) {
+    fn log_colocation(
+        &self,
+        index: WorkerIndex,
+        serving: &[ServingTask],
+        best_effort: &[BestEffortTask],
+    ) {
+        if serving.is_empty() || !log::log_enabled!(log::Level::Debug) {
             return;
         }
         let tails: Vec<String> =
-            servers.iter().map(|s| format!("{}:{:.2}", s.image, s.ratio)).collect();
-        let beside: Vec<String> = fillers
+            serving.iter().map(|task| format!("{}:{:.2}", task.image, task.ratio)).collect();
+        let beside: Vec<String> = best_effort
             .iter()
-            .map(|f| format!("{}:{}:{:.1}", f.image, f.pace_percent, f.cores))
+            .map(|task| format!("{}:{}:{:.1}", task.image, task.pace_percent, task.cores))
             .collect();
         let worker = &self.workers[index as usize];
         log::debug!(event = "beside", worker = worker.entry.id.as_str(),
@@ -168,115 +187,146 @@
             tails = tails.join(" ").as_str(), filling = beside.join(" ").as_str(); "");
     }
 
-    fn learn(&mut self, servers: &[Server], fillers: &[Filler]) {
+    fn learn(&mut self, serving: &[ServingTask], best_effort: &[BestEffortTask]) {
         let mut usage: Usage = [0.0; MAX_IMAGES];
-        for filler in fillers {
-            usage[self.interference.place(filler.image)] += filler.part;
+        for task in best_effort {
+            usage[self.interference.place(task.image)] += task.usage;
         }
-        for server in servers {
-            self.interference.learn(server.image, &usage, server.ratio);
+        for serving_task in serving {
+            self.interference.learn(serving_task.image, &usage, serving_task.ratio);
         }
     }
 
-    /// Slows what presses the tasks over [`PRESSED`], the most pressing first, until the tails
-    /// should come down to [`AIM`]. What is known to be harmful here is moved instead. False if nothing
-    /// that is known to press is at work: then it is the worker that is full at the present load.
-    fn relieve(&mut self, index: WorkerIndex, servers: &[Server], fillers: &[Filler]) -> bool {
-        let pressed: Vec<&Server> =
-            servers.iter().filter(|server| server.ratio > PRESSED).collect();
-        let mut excess = pressed.iter().map(|server| (server.ratio / AIM).ln()).fold(0.0, f64::max);
-        let mut pressing: Vec<(f64, &Filler)> = fillers
+    /// Slows the tasks that raise tails above [`SLOWING_TAIL_RATIO`], those with the largest effect
+    /// first, until the tails are expected to drop to [`TARGET_TAIL_RATIO`]. Tasks of harmful pairs
+    /// are moved instead.
+    ///
+    /// Returns false if no running task is known to raise the tails: the worker itself is saturated
+    /// then.
+    fn slow_harmful_tasks(
+        &mut self,
+        index: WorkerIndex,
+        serving: &[ServingTask],
+        best_effort: &[BestEffortTask],
+    ) -> bool {
+        let over_target: Vec<&ServingTask> =
+            serving.iter().filter(|serving_task| serving_task.ratio > SLOWING_TAIL_RATIO).collect();
+        let mut excess = over_target
+            .iter()
+            .map(|serving_task| (serving_task.ratio / TARGET_TAIL_RATIO).ln())
+            .fold(0.0, f64::max);
+        let mut blamed: Vec<(f64, &BestEffortTask)> = best_effort
             .iter()
-            .map(|filler| {
-                let weight = |server: &&Server| {
-                    self.interference.weight(server.image, filler.image).unwrap_or(0.0)
+            .map(|task| {
+                let weight = |serving_task: &&ServingTask| {
+                    self.interference.weight(serving_task.image, task.image).unwrap_or(0.0)
                 };
-                (pressed.iter().map(weight).fold(0.0, f64::max), filler)
+                (over_target.iter().map(weight).fold(0.0, f64::max), task)
             })
-            .filter(|(weight, filler)| *weight >= HARMFUL / 2.0 && filler.pace_percent > 0)
+            .filter(|(weight, task)| *weight >= HARMFUL_WEIGHT / 2.0 && task.pace_percent > 0)
             .collect();
-        pressing.sort_by(|a, b| (b.0 * b.1.part).total_cmp(&(a.0 * a.1.part)));
-        let is_blamed = !pressing.is_empty();
-        let most = pressing.first().map_or(0.0, |(weight, filler)| weight * filler.part);
-        for (weight, filler) in pressing {
-            if excess <= 0.0 || weight * filler.part < most * BLAME_SHARE {
+        blamed.sort_by(|a, b| (b.0 * b.1.usage).total_cmp(&(a.0 * a.1.usage)));
+        let found_cause = !blamed.is_empty();
+        let max_effect = blamed.first().map_or(0.0, |(weight, task)| weight * task.usage);
+        for (weight, task) in blamed {
+            if excess <= 0.0 || weight * task.usage < max_effect * MIN_BLAME_SHARE {
                 break;
             }
-            excess -= weight * filler.part;
-            let is_harmful = |server: &&Server| {
-                self.interference.pair(server.image, filler.image) == Pair::Harmful
+            excess -= weight * task.usage;
+            let is_harmful = |serving_task: &&ServingTask| {
+                self.interference.classify(serving_task.image, task.image) == PairClass::Harmful
             };
-            if pressed.iter().any(is_harmful) {
-                self.move_away(index, filler);
+            if over_target.iter().any(is_harmful) {
+                self.move_or_pause(index, task);
             } else {
-                self.set_pace(index, filler.at, 0);
+                self.set_pace(index, task.task_ref, 0);
             }
         }
-        is_blamed
+        found_cause
     }
 
-    /// Whether the worker is about to be full: tails are still in bounds, but at the present load of
-    /// its lasting tasks they double at the next rise.
-    fn is_crowded(&self, index: WorkerIndex, fillers: &[Filler]) -> bool {
-        let cores: f64 = fillers.iter().map(|filler| filler.cores).sum();
+    /// Whether the worker is close to saturation: tails are still within their targets, but would
+    /// double if the load of its long-running tasks rose further.
+    fn is_crowded(&self, index: WorkerIndex, best_effort: &[BestEffortTask]) -> bool {
+        let cores: f64 = best_effort.iter().map(|task| task.cores).sum();
         let worker = &self.workers[index as usize];
-        worker.mean_tail > LOADED && cores > cores_for_filling(worker) * CROWDED
+        worker.mean_tail > LOADED_MEAN_TAIL_RATIO
+            && cores > best_effort_cores(worker) * CROWDING_TOLERANCE
     }
 
-    /// Slows what fills to what the worker has left for it, all alike.
-    fn thin_out(&mut self, index: WorkerIndex, fillers: &[Filler]) {
-        let cores: f64 = fillers.iter().map(|filler| filler.cores).sum();
-        let room = cores_for_filling(&self.workers[index as usize]).max(0.0);
-        let steps = (room / cores.max(0.1) * f64::from(100 / SLOW_PERCENT)) as u32;
-        let percent = (steps * SLOW_PERCENT).max(SLOW_PERCENT);
-        for filler in fillers {
-            self.set_pace(index, filler.at, filler.pace_percent.min(percent));
+    /// Slows all best-effort tasks of a worker alike, to the capacity that is left for them.
+    fn slow_to_capacity(&mut self, index: WorkerIndex, best_effort: &[BestEffortTask]) {
+        let cores: f64 = best_effort.iter().map(|task| task.cores).sum();
+        let headroom = best_effort_cores(&self.workers[index as usize]).max(0.0);
+        let steps = (headroom / cores.max(0.1) * f64::from(100 / SLOWED_PACE_PERCENT)) as u32;
+        let percent = (steps * SLOWED_PACE_PERCENT).max(SLOWED_PACE_PERCENT);
+        for task in best_effort {
+            self.set_pace(index, task.task_ref, task.pace_percent.min(percent));
         }
     }
 
-    /// Takes a harmful task off the worker if that loses little; else it stands still.
-    fn move_away(&mut self, index: WorkerIndex, filler: &Filler) {
-        if filler.saves_progress || filler.percent < 30 {
-            log::info!(event = "task_moved", job = self.job_id(filler.at.job),
-                task = filler.at.task, image = filler.image,
-                worker = self.workers[index as usize].entry.id.as_str(); "it harms what serves");
-            self.set_pace(index, filler.at, 0);
+    /// Stops a harmful task so that it restarts elsewhere, if little work is lost; otherwise paces
+    /// it to zero.
+    fn move_or_pause(&mut self, index: WorkerIndex, task: &BestEffortTask) {
+        if task.saves_progress || task.percent < 30 {
+            log::info!(event = "task_moved", job = self.job_id(task.task_ref.job),
+                task = task.task_ref.task, image = task.image,
+                worker = self.workers[index as usize].entry.id.as_str();
+                "moving task that harms serving tasks");
+            self.set_pace(index, task.task_ref, 0);
             let now_us = self.workers[index as usize].sampled_us;
-            self.stop(filler.at, now_us);
+            self.stop(task.task_ref, now_us);
         } else {
-            self.set_pace(index, filler.at, 0);
+            self.set_pace(index, task.task_ref, 0);
         }
     }
 
-    /// Lets slowed tasks go faster again, one step for each poll, if that keeps the tails in bounds.
-    fn let_go(&mut self, index: WorkerIndex, servers: &[Server], fillers: &[Filler], worst: f64) {
-        let mut room = (AIM / worst.max(0.05)).ln();
-        let in_use: f64 = fillers.iter().map(|filler| filler.cores).sum();
-        let mut cores_left = cores_for_filling(&self.workers[index as usize]) - in_use;
-        for filler in fillers.iter().filter(|filler| filler.pace_percent < 100) {
-            let weight = servers
+    /// Speeds up slowed tasks, one step per poll, if the tails are expected to stay within their
+    /// targets.
+    fn speed_up(
+        &mut self,
+        index: WorkerIndex,
+        serving: &[ServingTask],
+        best_effort: &[BestEffortTask],
+        worst: f64,
+    ) {
+        let mut headroom = (TARGET_TAIL_RATIO / worst.max(0.05)).ln();
+        let in_use: f64 = best_effort.iter().map(|task| task.cores).sum();
+        let mut cores_left = best_effort_cores(&self.workers[index as usize]) - in_use;
+        for task in best_effort.iter().filter(|task| task.pace_percent < 100) {
+            let weight = serving
                 .iter()
-                .map(|server| self.interference.weight(server.image, filler.image).unwrap_or(0.0))
+                .map(|serving_task| {
+                    self.interference.weight(serving_task.image, task.image).unwrap_or(0.0)
+                })
                 .fold(0.0, f64::max);
-            let cores = f64::from(PACE_STEP_PERCENT) / 100.0 * self.cores_wanted(filler.at);
-            let part = part_of(&self.workers[index as usize], cores * 1_000.0);
-            if weight * part > room || cores > cores_left {
+            let cores =
+                f64::from(SPEED_UP_STEP_PERCENT) / 100.0 * self.requested_cores(task.task_ref);
+            let usage = usage_units(&self.workers[index as usize], cores * 1_000.0);
+            if weight * usage > headroom || cores > cores_left {
                 continue;
             }
-            room -= weight * part;
+            headroom -= weight * usage;
             cores_left -= cores;
-            let percent = (filler.pace_percent + PACE_STEP_PERCENT).min(100);
-            self.set_pace(index, filler.at, percent);
+            let percent = (task.pace_percent + SPEED_UP_STEP_PERCENT).min(100);
+            self.set_pace(index, task.task_ref, percent);
         }
     }
 
-    fn cores_wanted(&self, at: TaskRef) -> f64 {
-        self.job(at.job).map_or(0.0, |job| job.step(at.task).need.cpu_milli as f64 / 1_000.0)
+    fn requested_cores(&self, task_ref: TaskRef) -> f64 {
+        self.job(task_ref.job)
+            .map_or(0.0, |job| job.step(task_ref.task).need.cpu_milli as f64 / 1_000.0)
     }
 
-    /// The last resort, whatever is known: nothing that fills works on beside a task that has been
-    /// over its target for long.
-    fn guard(&mut self, index: WorkerIndex, fillers: &[Filler], worst: f64, now_us: u64) {
+    /// Limits the harm regardless of the model: slows and finally pauses all best-effort tasks of a
+    /// worker with a serving task that has been over its target for too long.
+    fn limit_harm(
+        &mut self,
+        index: WorkerIndex,
+        best_effort: &[BestEffortTask],
+        worst: f64,
+        now_us: u64,
+    ) {
         let limit_us = self.bounds.harm_ms * US_PER_MS;
         let worker = &mut self.workers[index as usize];
         if worst <= 1.0 {
@@ -287,21 +337,21 @@
             worker.over_since_us = now_us;
         }
         let over_us = now_us - worker.over_since_us;
-        let most = if over_us * 100 > limit_us * STAND_STILL_PERCENT {
+        let max_pace = if over_us * 100 > limit_us * PAUSE_ALL_AFTER_PERCENT {
             0
-        } else if over_us * 100 > limit_us * SLOW_ALL_PERCENT {
-            SLOW_PERCENT
+        } else if over_us * 100 > limit_us * SLOW_ALL_AFTER_PERCENT {
+            SLOWED_PACE_PERCENT
         } else {
             return;
         };
-        for filler in fillers {
-            self.set_pace(index, filler.at, filler.pace_percent.min(most));
+        for task in best_effort {
+            self.set_pace(index, task.task_ref, task.pace_percent.min(max_pace));
         }
     }
 
-    fn set_pace(&mut self, index: WorkerIndex, at: TaskRef, percent: u32) {
-        let Some(job) = self.jobs[at.job as usize].as_mut() else { return };
-        let task = &mut job.tasks[at.task as usize];
+    fn set_pace(&mut self, index: WorkerIndex, task_ref: TaskRef, percent: u32) {
+        let Some(job) = self.jobs[task_ref.job as usize].as_mut() else { return };
+        let task = &mut job.tasks[task_ref.task as usize];
         if percent == task.pace_percent || task.state != TaskState::Running(index) {
             return;
         }
@@ -313,6 +363,6 @@
             (_, since_us) => since_us,
         };
         self.counts.paced += 1;
-        self.push_order(at, index, OrderKind::Pace { percent }, now_us);
+        self.push_order(task_ref, index, OrderKind::Pace { percent }, now_us);
     }
 }
--- a/crates/agatesill_policy/src/fleet/crashes.rs
+++ b/crates/agatesill_policy/src/fleet/crashes.rs
@@ -1,144 +1,150 @@
 //! Detection of tasks that crash their workers.
 //!
-//! Load pattern: a task crashes every worker that starts it, and each crash loses a dozen runs of other
-//! tasks. With unlimited retries, the task crashes one worker after another. Most crashes are not caused
-//! by a task, and the failure of a rack or a zone can hit the same tasks several times.
+//! Load pattern: a task crashes every worker that starts it, and each crash loses a dozen runs of
+//! other tasks. With unlimited retries, the task crashes one worker after another. Most crashes are
+//! not caused by a task, and the failure of a rack or a zone can hit the same tasks several times.
 //!
-//! A run is a suspect until it has been observed running for [`PROBATION_US`]. If its worker is lost
-//! before that, the crash counts against the task; a run that lasts longer, or that ends by itself,
-//! resets the task's counts. The suspects of one crash are restarted on different workers where possible,
-//! and new starts avoid these workers, so that the next crash has a single suspect. Such a crash is stronger
-//! evidence against a task, so fewer of them are allowed. Repeat suspects back off between runs and wait
-//! for a limited time for a worker without another suspect.
+//! A run is a suspect until it has been observed running for [`PROBATION_US`]. If its worker is
+//! lost before that, the crash counts against the task; a run that lasts longer, or that ends by
+//! itself, resets the task's counts. The suspects of one crash are restarted on different workers
+//! where possible, and new starts avoid these workers, so that the next crash has a single suspect.
+//! Such a crash is stronger evidence against a task, so fewer of them are allowed. Repeat suspects
+//! back off between runs and wait for a limited time for a worker without another suspect.
 
 use super::US_PER_MS;
 use super::job::{JobPhase, Task, TaskRef, TaskState};
 use super::state::Fleet;
 use super::worker::{WorkerIndex, WorkerStanding};
 
-/// Running time after which a crash of the worker no longer counts against the task.
+/// Run time after which a crash of the worker no longer counts against the task.
 const PROBATION_US: u64 = 2_000 * US_PER_MS;
 
-/// Consecutive crashes in which a task was the only suspect after which it is given up.
-const MOST_UNEXPLAINED_CRASHES: u32 = 3;
+/// Number of consecutive crashes with the task as the only suspect after which it is given up.
+const MAX_UNEXPLAINED_CRASHES: u32 = 3;
 
-/// Consecutive crashes, whatever their cause, after which a task is given up.
-const MOST_CRASHES: u32 = 5;
+/// Number of consecutive crashes of any cause after which a task is given up.
+const MAX_CRASHES: u32 = 5;
 
-/// Consecutive crashes that make a task a repeat suspect.
+/// Number of consecutive crashes from which a task is a repeat suspect.
 const REPEAT_SUSPECT_CRASHES: u32 = 2;
 
-/// Initial backoff of a repeat suspect; doubles with each further crash.
-const FIRST_BACKOFF_US: u64 = 500 * US_PER_MS;
+/// Initial backoff of a repeat suspect; it doubles with each further crash.
+const INITIAL_BACKOFF_US: u64 = 500 * US_PER_MS;
 
-/// Upper limit of the backoff.
-const LONGEST_BACKOFF_US: u64 = 2_000 * US_PER_MS;
+/// Maximum backoff of a repeat suspect.
+const MAX_BACKOFF_US: u64 = 2_000 * US_PER_MS;
 
 /// Time after its backoff for which a repeat suspect waits for a worker without another suspect.
-const SEPARATION_WAIT_US: u64 = 2_000 * US_PER_MS;
+const SEPARATION_TIMEOUT_US: u64 = 2_000 * US_PER_MS;
 
-/// Number of workers going silent within [`CORRELATION_WINDOW_US`] of a crashed worker, itself included,
-/// from which the crash is attributed to a shared cause such as a power failure of a rack.
-const CORRELATED_WORKERS: usize = 2;
+/// Number of workers becoming unresponsive within [`CORRELATION_WINDOW_US`] of a crashed worker,
+/// itself included, from which the crash is attributed to a shared cause such as a power failure of
+/// a rack.
+const MIN_CORRELATED_WORKERS: usize = 2;
 
 /// Largest difference between the last answers of workers whose failures are correlated.
 const CORRELATION_WINDOW_US: u64 = 1_000 * US_PER_MS;
 
-/// How long after its last answer a silent worker is considered for correlation.
-const SILENCE_RETENTION_US: u64 = 30_000 * US_PER_MS;
+/// Time after its last answer for which an unresponsive worker is considered for correlation.
+const UNRESPONSIVE_RETENTION_US: u64 = 30_000 * US_PER_MS;
 
 impl Task {
-    /// Whether it is to be placed apart from other suspects: its last run may have caused the crash in which
-    /// it was lost, or it is a repeat suspect, and no newer run has passed its probation.
+    /// Whether the task is to be placed apart from other suspects: its last run may have caused the
+    /// crash in which it was lost, or it is a repeat suspect, and no newer run has passed its
+    /// probation.
     pub(super) fn is_isolated(&self) -> bool {
         let is_repeat_suspect = self.crashes >= REPEAT_SUSPECT_CRASHES;
         (self.is_crash_suspect || is_repeat_suspect) && !self.is_past_probation
     }
 
-    /// Whether its next run is delayed because of earlier crashes.
+    /// Whether the next run of the task is delayed because of earlier crashes.
     pub(super) fn is_backing_off(&self, now_us: u64) -> bool {
         now_us.saturating_sub(self.since_us) < self.backoff_us()
     }
 
-    /// Whether it still waits for a worker without another suspect, after which it may share one.
+    /// Whether the task still waits for a worker without another suspect. After the wait it may
+    /// share one.
     pub(super) fn awaits_separation(&self, now_us: u64) -> bool {
-        let wait_us = self.backoff_us() + SEPARATION_WAIT_US;
+        let wait_us = self.backoff_us() + SEPARATION_TIMEOUT_US;
         self.crashes >= REPEAT_SUSPECT_CRASHES && now_us.saturating_sub(self.since_us) < wait_us
     }
 
     fn backoff_us(&self) -> u64 {
         match self.crashes.checked_sub(REPEAT_SUSPECT_CRASHES) {
-            Some(doublings) => (FIRST_BACKOFF_US << doublings.min(4)).min(LONGEST_BACKOFF_US),
+            Some(doublings) => (INITIAL_BACKOFF_US << doublings.min(4)).min(MAX_BACKOFF_US),
             None => 0,
         }
     }
 }
 
 impl Fleet {
-    pub(super) fn is_isolated(&self, at: TaskRef) -> bool {
-        self.job(at.job).is_some_and(|job| job.tasks[at.task as usize].is_isolated())
+    pub(super) fn is_isolated(&self, task_ref: TaskRef) -> bool {
+        self.job(task_ref.job).is_some_and(|job| job.tasks[task_ref.task as usize].is_isolated())
     }
 
-    pub(super) fn awaits_separation(&self, at: TaskRef, now_us: u64) -> bool {
-        self.job(at.job).is_some_and(|job| job.tasks[at.task as usize].awaits_separation(now_us))
+    pub(super) fn awaits_separation(&self, task_ref: TaskRef, now_us: u64) -> bool {
+        self.job(task_ref.job)
+            .is_some_and(|job| job.tasks[task_ref.task as usize].awaits_separation(now_us))
     }
 
-    /// Releases all tasks of a worker whose runs are lost, and counts a crash against those still on
-    /// probation. `is_crash` is false if the worker may still be up; the crash is then not unexplained.
+    /// Releases all tasks of a worker whose runs are lost, and counts a crash against those still
+    /// on probation. `is_crash` is false if the worker may still be up; the crash then counts as
+    /// explained.
     pub(super) fn release_lost_runs(&mut self, index: WorkerIndex, is_crash: bool, now_us: u64) {
         let is_attributable = is_crash && !self.has_other_cause(index);
         let tasks = std::mem::take(&mut self.workers[index as usize].tasks);
-        let suspects = tasks.iter().filter(|at| self.is_suspect(**at)).count();
+        let suspects = tasks.iter().filter(|task_ref| self.is_suspect(**task_ref)).count();
         let is_unexplained = is_attributable && suspects == 1;
-        for at in tasks {
-            let is_suspect = self.is_suspect(at);
+        for task_ref in tasks {
+            let is_suspect = self.is_suspect(task_ref);
             self.counts.lost += 1;
-            self.mark_dirty(at.job, now_us);
-            self.release(at, TaskState::Waiting, now_us);
+            self.mark_dirty(task_ref.job, now_us);
+            self.release(task_ref, TaskState::Waiting, now_us);
             if is_suspect {
-                self.count_crash(at, is_attributable, is_unexplained);
+                self.count_crash(task_ref, is_attributable, is_unexplained);
             }
-            self.log_lost_run(index, at, is_suspect, is_unexplained);
-            self.give_up_after_crashes(at, now_us);
+            self.log_lost_run(index, task_ref, is_suspect, is_unexplained);
+            self.give_up_after_crashes(task_ref, now_us);
         }
     }
 
-    /// Records the last answer of a worker that went silent, for correlation with other failures.
+    /// Records the last answer of a worker that became unresponsive, for correlation with other
+    /// failures.
     pub(super) fn record_unresponsive_worker(&mut self, index: WorkerIndex, now_us: u64) {
         let answered_us = self.workers[index as usize].answered_us;
         self.lost_contacts_us.push_back(answered_us);
         while self
             .lost_contacts_us
             .front()
-            .is_some_and(|at_us| at_us + SILENCE_RETENTION_US < now_us)
+            .is_some_and(|at_us| at_us + UNRESPONSIVE_RETENTION_US < now_us)
         {
             self.lost_contacts_us.pop_front();
         }
     }
 
     /// Ends the probation of a run reported by its worker once it has run for [`PROBATION_US`].
-    pub(super) fn update_probation(&mut self, at: TaskRef, now_us: u64) {
-        let Some(job) = self.job_mut(at.job) else { return };
-        let task = &mut job.tasks[at.task as usize];
+    pub(super) fn update_probation(&mut self, task_ref: TaskRef, now_us: u64) {
+        let Some(job) = self.job_mut(task_ref.job) else { return };
+        let task = &mut job.tasks[task_ref.task as usize];
         let is_past_probation = matches!(task.state, TaskState::Running(_))
             && now_us.saturating_sub(task.since_us) >= PROBATION_US;
         if !is_past_probation || task.is_past_probation {
             return;
         }
         let was_suspect = task.crashes > 0;
-        self.clear_crashes(at);
-        if let Some(job) = self.job_mut(at.job) {
-            job.tasks[at.task as usize].is_past_probation = true;
+        self.clear_crashes(task_ref);
+        if let Some(job) = self.job_mut(task_ref.job) {
+            job.tasks[task_ref.task as usize].is_past_probation = true;
         }
         if was_suspect {
-            self.mark_dirty(at.job, now_us);
+            self.mark_dirty(task_ref.job, now_us);
         }
     }
 
     /// Resets the crash counts of a task after a run that did not crash its worker.
-    pub(super) fn clear_crashes(&mut self, at: TaskRef) {
-        let Some(job) = self.job_mut(at.job) else { return };
-        let task = &mut job.tasks[at.task as usize];
+    pub(super) fn clear_crashes(&mut self, task_ref: TaskRef) {
+        let Some(job) = self.job_mut(task_ref.job) else { return };
+        let task = &mut job.tasks[task_ref.task as usize];
         let suspect_worker = task.state.worker().filter(|_| task.is_isolated());
         task.crashes = 0;
         task.unexplained_crashes = 0;
@@ -149,62 +155,68 @@
         }
     }
 
-    /// Whether a run may have caused the crash of its worker: its start was ordered, and it is still on
-    /// probation.
-    fn is_suspect(&self, at: TaskRef) -> bool {
-        self.job(at.job).is_some_and(|job| {
-            let task = &job.tasks[at.task as usize];
+    /// Whether a run may have caused the crash of its worker: its start was ordered, and it is
+    /// still on probation.
+    fn is_suspect(&self, task_ref: TaskRef) -> bool {
+        self.job(task_ref.job).is_some_and(|job| {
+            let task = &job.tasks[task_ref.task as usize];
             !task.is_past_probation && !matches!(task.state, TaskState::Chosen(_))
         })
     }
 
-    /// Whether the loss of a worker has, or may have, a cause other than its tasks. This includes a worker that
-    /// never answered this planner, because it is unknown how long its runs had lasted.
+    /// Whether the loss of a worker has, or may have, a cause other than its tasks. This includes a
+    /// worker that never answered this planner, because it is unknown how long its runs had lasted.
     fn has_other_cause(&self, index: WorkerIndex) -> bool {
         let worker = &self.workers[index as usize];
         let is_correlated =
             |at_us: &&u64| at_us.abs_diff(worker.answered_us) <= CORRELATION_WINDOW_US;
         worker.answered_us == 0
             || worker.entry.is_leaving
-            || self.lost_contacts_us.iter().filter(is_correlated).take(CORRELATED_WORKERS).count()
-                == CORRELATED_WORKERS
+            || self
+                .lost_contacts_us
+                .iter()
+                .filter(is_correlated)
+                .take(MIN_CORRELATED_WORKERS)
+                .count()
+                == MIN_CORRELATED_WORKERS
     }
 
-    fn count_crash(&mut self, at: TaskRef, is_attributable: bool, is_unexplained: bool) {
-        let Some(job) = self.job_mut(at.job) else { return };
-        let task = &mut job.tasks[at.task as usize];
+    fn count_crash(&mut self, task_ref: TaskRef, is_attributable: bool, is_unexplained: bool) {
+        let Some(job) = self.job_mut(task_ref.job) else { return };
+        let task = &mut job.tasks[task_ref.task as usize];
         task.crashes += 1;
         task.unexplained_crashes += u32::from(is_unexplained);
         task.is_crash_suspect = is_attributable;
     }
 
-    fn give_up_after_crashes(&mut self, at: TaskRef, now_us: u64) {
-        let Some(job) = self.job(at.job).filter(|job| job.phase == JobPhase::Active) else {
+    fn give_up_after_crashes(&mut self, task_ref: TaskRef, now_us: u64) {
+        let Some(job) = self.job(task_ref.job).filter(|job| job.phase == JobPhase::Active) else {
             return;
         };
-        let task = &job.tasks[at.task as usize];
-        if task.crashes < MOST_CRASHES && task.unexplained_crashes < MOST_UNEXPLAINED_CRASHES {
+        let task = &job.tasks[task_ref.task as usize];
+        if task.crashes < MAX_CRASHES && task.unexplained_crashes < MAX_UNEXPLAINED_CRASHES {
             return;
         }
-        log::warn!(event = "task_given_up", job = job.spec.id.as_str(), task = at.task,
+        log::warn!(event = "task_given_up", job = job.spec.id.as_str(), task = task_ref.task,
             run = task.run, crashes = task.crashes, unexplained = task.unexplained_crashes;
             "too many worker crashes during its runs");
         self.counts.given_up += 1;
-        self.finish(at.job, JobPhase::Failed, now_us);
+        self.finish(task_ref.job, JobPhase::Failed, now_us);
     }
 
     fn log_lost_run(
         &self,
         index: WorkerIndex,
-        at: TaskRef,
+        task_ref: TaskRef,
         is_suspect: bool,
         is_unexplained: bool,
     ) {
-        let Some(job) = self.job(at.job) else { return };
-        let task = &job.tasks[at.task as usize];
+        let Some(job) = self.job(task_ref.job) else { return };
+        let task = &job.tasks[task_ref.task as usize];
         let worker = &self.workers[index as usize];
-        log::info!(event = "run_lost", job = job.spec.id.as_str(), task = at.task, run = task.run,
-            worker = worker.entry.id.as_str(), is_gone = worker.standing == WorkerStanding::Gone,
+        log::info!(event = "run_lost", job = job.spec.id.as_str(), task = task_ref.task,
+            run = task.run, worker = worker.entry.id.as_str(),
+            is_gone = worker.standing == WorkerStanding::Gone,
             is_suspect = is_suspect, is_unexplained = is_unexplained, crashes = task.crashes; "");
     }
 }
--- a/crates/agatesill_policy/src/fleet/longest_wait.rs
+++ b/crates/agatesill_policy/src/fleet/longest_wait.rs
@@ -1,4 +1,4 @@
-//! Tasks that have been without a run, or on their way to or from one, for longest, and what they lack.
+//! Diagnostics: the tasks that have waited, or been in transition to or from a run, for longest.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,23 @@
 use super::usage::TaskKind;
 use super::worker::{Worker, WorkerIndex, WorkerStanding};
 
-/// Why a waiting task is not tried in a round of planning.
+/// Why the planner does not try to place a waiting task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deferral {
-    /// It is tried.
+    /// Placement is attempted.
     None,
-    /// It was preempted and leaves its room to urgent steps.
+    /// The task was preempted and leaves its capacity to urgent steps.
     HeldBack,
-    /// It pauses after crashes of its workers.
+    /// The task backs off after crashes of its workers.
     BackingOff,
-    /// It waits for a worker without other suspects of a crash.
+    /// The task waits for a worker without other crash suspects.
     AwaitsSeparation,
-    /// It needs advice on the workers that may run it.
+    /// The task needs advice on which workers may run it.
     AwaitsAdvice,
 }
 
 impl Deferral {
-    /// Its name in logs.
+    /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Deferral::None => "none",
@@ -36,75 +36,77 @@
     }
 }
 
-/// Workers with room for a task, by whether they take tasks now.
+/// Number of workers with capacity for a task, by whether they accept tasks now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FittingWorkers {
-    /// They take tasks.
+    /// Workers that accept tasks.
     pub open: u32,
-    /// Closed for a moment: they failed or rejected what they were to start, or are slow.
+    /// Workers that are closed temporarily, because they failed or rejected starts or are slow.
     pub closed: u32,
-    /// They do not answer, leave, are not registered or lie in a closed zone.
+    /// Workers that are unresponsive, leaving, not registered or in a closed zone.
     pub unavailable: u32,
 }
 
-/// A task that has been without a run for longest among those of its kind that wait.
+/// The waiting task of one kind that has been without a run for longest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LongestWait {
-    /// Its kind.
+    /// Kind of the task.
     pub kind: TaskKind,
-    /// Its job.
+    /// Job of the task.
     pub job: JobId,
-    /// Its step.
+    /// Step within the job, from 0.
     pub step: u32,
-    /// Its place among the job's tasks.
+    /// Index among the job's tasks.
     pub task: u32,
-    /// Time since its newest run ended, or since its step's turn came.
+    /// Time since its newest run ended or, before the first run, since its step became runnable.
     pub waited_ms: u64,
-    /// Starts since then that were not carried out.
+    /// Number of starts since then that were not carried out.
     pub failed_starts: u32,
-    /// Why it is not tried now.
+    /// Why placement is not attempted now.
     pub deferral: Deferral,
-    /// Processors that it is charged for.
+    /// CPU that the task would allocate.
     pub cpu_milli: u64,
-    /// Memory that it is charged for.
+    /// Memory that the task would allocate.
     pub memory_mb: u64,
-    /// Workers with room for it.
+    /// Workers with capacity for the task.
     pub fitting: FittingWorkers,
-    /// Most free processors on one open worker.
+    /// Largest free CPU of an open worker.
     pub most_free_milli: u64,
-    /// Most processors on one open worker that are free or reserved by tasks that end by themselves.
+    /// Largest CPU of an open worker that is free or reserved by tasks that end by themselves.
     pub most_free_or_plain_milli: u64,
 }
 
-/// The task that has been in one state between its choice and its run, or its stop and its end, for longest.
+/// The task that has been in one transitional state for longest: between its choice and its run, or
+/// between its stop and its end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LongestTransition {
-    /// The state: `chosen`, `ordered` or `stopping`.
+    /// State of the task: `chosen`, `ordered` or `stopping`.
     pub state: &'static str,
-    /// Tasks in this state.
+    /// Number of tasks in this state.
     pub tasks: u32,
-    /// Its job.
+    /// Job of the task.
     pub job: JobId,
-    /// Its place among the job's tasks.
+    /// Index among the job's tasks.
     pub task: u32,
-    /// Its worker.
+    /// Worker of the task.
     pub worker: String,
-    /// How far the worker can be counted on.
+    /// Standing of the worker.
     pub standing: WorkerStanding,
     /// Whether the registry lists the worker.
     pub is_listed: bool,
-    /// How long it has been in this state.
+    /// Time that the task has been in this state.
     pub for_ms: u64,
 }
 
 impl Fleet {
-    /// The task that has been chosen, ordered or stopping for longest, for each of these states.
+    /// Returns, for each of the states chosen, ordered and stopping, the task that has been in it
+    /// for longest.
     pub fn longest_transitions(&self, now_us: u64) -> Vec<LongestTransition> {
         let mut longest: BTreeMap<&'static str, (u32, u64, TaskRef, WorkerIndex)> = BTreeMap::new();
         for (index, worker) in self.live_workers() {
-            for at in &worker.tasks {
-                let Some(job) = self.job(at.job) else { continue };
-                let task = &job.tasks[at.task as usize];
+            for task_ref in &worker.tasks {
+                let Some(job) = self.job(task_ref.job) else { continue };
+                let task = &job.tasks[task_ref.task as usize];
                 let state = match task.state {
                     TaskState::Chosen(_) => "chosen",
                     TaskState::Ordered(_) => "ordered",
@@ -112,22 +114,22 @@
                     _ => continue,
                 };
                 let for_us = now_us.saturating_sub(task.since_us);
-                let entry = longest.entry(state).or_insert((0, for_us, *at, index));
+                let entry = longest.entry(state).or_insert((0, for_us, *task_ref, index));
                 entry.0 += 1;
                 if for_us > entry.1 {
-                    *entry = (entry.0, for_us, *at, index);
+                    *entry = (entry.0, for_us, *task_ref, index);
                 }
             }
         }
         longest
             .into_iter()
-            .map(|(state, (tasks, for_us, at, index))| {
+            .map(|(state, (tasks, for_us, task_ref, index))| {
                 let worker = &self.workers[index as usize];
                 LongestTransition {
                     state,
                     tasks,
-                    job: self.job_id(at.job).to_owned(),
-                    task: at.task,
+                    job: self.job_id(task_ref.job).to_owned(),
+                    task: task_ref.task,
                     worker: worker.entry.id.clone(),
                     standing: worker.standing,
                     is_listed: worker.is_listed,
@@ -137,7 +139,7 @@
             .collect()
     }
 
-    /// The task of each kind that has been without a run for longest among those that wait.
+    /// Returns the longest waiting task of each kind.
     pub fn longest_waits(&self, now_us: u64) -> Vec<LongestWait> {
         [TaskKind::LongRunning, TaskKind::Plain, TaskKind::BestEffort]
             .into_iter()
@@ -149,11 +151,11 @@
         let (group, task, waited_us) = self
             .waiting
             .iter()
-            .filter_map(|group| self.longest_of_group(*group, kind, now_us))
+            .filter_map(|group| self.longest_wait_in_group(*group, kind, now_us))
             .max_by_key(|(_, _, waited_us)| *waited_us)?;
         let job = self.job(group.job)?;
         let step = &job.spec.steps[group.step as usize];
-        let charge = step.allocation();
+        let allocation = step.allocation();
         let mut wait = LongestWait {
             kind,
             job: job.spec.id.clone(),
@@ -162,8 +164,8 @@
             waited_ms: waited_us / US_PER_MS,
             failed_starts: job.tasks[task as usize].failed_starts,
             deferral: self.deferral(group, task, now_us),
-            cpu_milli: charge.cpu_milli,
-            memory_mb: charge.memory_mb,
+            cpu_milli: allocation.cpu_milli,
+            memory_mb: allocation.memory_mb,
             fitting: FittingWorkers::default(),
             most_free_milli: 0,
             most_free_or_plain_milli: 0,
@@ -178,7 +180,7 @@
         Some(wait)
     }
 
-    fn longest_of_group(
+    fn longest_wait_in_group(
         &self,
         group: TaskGroup,
         kind: TaskKind,
--- a/crates/agatesill_policy/src/fleet/place.rs
+++ b/crates/agatesill_policy/src/fleet/place.rs
@@ -1,9 +1,9 @@
-//! The choice of a worker for one task.
+//! Chooses a worker for one task.
 //!
-//! Load pattern: lasting tasks reserve two thirds of the processors and use about half of what they
-//! reserve; short urgent tasks and wide batch steps share the rest. Lasting tasks are packed
-//! tightly, which leaves whole workers to the tasks that fill; only what these workers cannot hold
-//! goes beside lasting tasks, the least harmful images first.
+//! Load pattern: long-running tasks reserve two thirds of the CPUs and use about half of their
+//! reservation; short urgent tasks and wide batch steps share the rest. Long-running tasks are
+//! packed tightly, which leaves whole workers to best-effort tasks. Only best-effort tasks that do
+//! not fit there are colocated with long-running tasks, those of the least harmful images first.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap};
@@ -13,56 +13,57 @@
 use super::state::{Fleet, TaskGroup};
 use super::worker::{Worker, WorkerIndex};
 
-/// A task that needs a worker.
+/// Requirements of a task that needs a worker.
 #[derive(Debug)]
-pub(super) struct Request<'a> {
-    /// Its step.
+pub(super) struct PlacementRequest<'a> {
+    /// Step of the task.
     pub step: &'a Step,
-    /// Service whose workers may run it.
+    /// Service whose workers may run the task.
     pub service: &'a str,
-    /// Number of its image.
+    /// Number of the task's image.
     pub image: ImageId,
-    /// Tasks of the same step and occurrence on each worker.
-    pub beside: &'a HashMap<WorkerIndex, u32>,
-    /// The step, if only workers with a ticket may run it.
-    pub advised: Option<TaskGroup>,
-    /// Whether a worker that is closed for failing is better than none.
-    pub takes_closed: bool,
+    /// Number of tasks of the same step and occurrence on each worker.
+    pub tasks_by_worker: &'a HashMap<WorkerIndex, u32>,
+    /// The group of the task if only workers with a ticket for that group may run it.
+    pub ticket_group: Option<TaskGroup>,
+    /// Whether the task accepts a worker that is closed after failures if no open one fits.
+    pub accepts_closed: bool,
     /// Whether the task is to be placed apart from other suspects.
     pub is_isolated: bool,
     /// Whether the task waits rather than share a worker with another suspect.
     pub awaits_separation: bool,
-    /// Racks that the step's tasks use already.
+    /// Racks already used by the tasks of the step; only tracked if the step wants one rack.
     pub chosen_racks: &'a [String],
 }
 
-/// Added to the score of a worker off the rack where the data lies: such a run takes a multiple of
-/// the time, so any worker on the rack is better.
-const REMOTE_SCORE: f64 = 100.0;
+/// Penalty of a worker outside the rack of the data, or outside the racks of the step if it wants
+/// one rack. Such a run takes a multiple of the time, so any open worker on the rack is preferred.
+const REMOTE_PENALTY: f64 = 100.0;
 
-/// Added for a worker that is closed for failing: any open one is better.
-const CLOSED_SCORE: f64 = 1_000.0;
+/// Penalty of a worker that is closed after failures. Any open worker is preferred.
+const CLOSED_PENALTY: f64 = 1_000.0;
 
-/// Added for a worker that is still cold, except for tasks that fill: they have slack, and a task
-/// whose caller waits goes there only where no other worker has room.
-const COLD_SCORE: f64 = 10.0;
+/// Penalty of a worker that is still cold. Tasks whose caller waits use such a worker only if no
+/// other has free capacity; best-effort tasks have slack and are exempt.
+const COLD_PENALTY: f64 = 10.0;
 
-/// Added for a worker with an isolated task: if it crashes, tasks newly started there become suspects as
-/// well. Lower than [`CLOSED_SCORE`]: such a worker is still preferred to a closed one.
-const SUSPECT_SCORE: f64 = 500.0;
+/// Penalty of a worker with an isolated task: if the worker crashes, tasks newly started there
+/// become suspects as well. Lower than [`CLOSED_PENALTY`], so such a worker is still preferred to a
+/// closed one.
+const SUSPECT_PENALTY: f64 = 500.0;
 
-/// The workers examined for the tasks of one step, the best first.
+/// Candidate workers for the tasks of one step, ordered by score.
 ///
-/// Tasks of a step are alike, so the workers are examined once for all of them; only the one that was
-/// chosen is weighed again. A step of forty tasks costs little more than one of one.
+/// All tasks of a step have the same requirements, so the candidates are scored once and only the
+/// chosen worker is scored again. Placing forty tasks costs little more than placing one.
 #[derive(Debug)]
-pub(super) struct Search {
+pub(super) struct WorkerSearch {
     candidates: Vec<WorkerIndex>,
-    /// Score and place among the candidates.
-    best: BinaryHeap<Reverse<(Score, usize)>>,
+    /// Score and index into `candidates`, lowest score first.
+    by_score: BinaryHeap<Reverse<(Score, usize)>>,
 }
 
-/// A finite score that can be compared.
+/// A finite score with a total order; lower is better.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Score(f64);
 
@@ -81,37 +82,38 @@
 }
 
 impl Fleet {
-    /// Examines workers for the tasks of a step.
-    pub(super) fn search(&self, request: &Request<'_>, now_us: u64) -> Search {
-        let candidates = self.to_examine(request);
+    /// Scores the candidate workers for the tasks of a step.
+    pub(super) fn search(&self, request: &PlacementRequest<'_>, now_us: u64) -> WorkerSearch {
+        let candidates = self.find_candidates(request);
         self.effort.count_workers_examined(candidates.len());
-        let best = candidates
+        let by_score = candidates
             .iter()
             .enumerate()
             .filter_map(|(place, index)| {
-                Some(Reverse((self.weigh(request, *index, now_us)?, place)))
+                Some(Reverse((self.score_if_eligible(request, *index, now_us)?, place)))
             })
             .collect();
-        Search { candidates, best }
+        WorkerSearch { candidates, by_score }
     }
 
-    /// The worker with the lowest score among those examined that may take one more task.
+    /// Returns the candidate with the lowest score that may take one more task.
     pub(super) fn choose_worker(
         &mut self,
-        request: &Request<'_>,
-        search: &mut Search,
+        request: &PlacementRequest<'_>,
+        search: &mut WorkerSearch,
         now_us: u64,
     ) -> Option<WorkerIndex> {
-        while let Some(Reverse((score, place))) = search.best.pop() {
+        while let Some(Reverse((score, place))) = search.by_score.pop() {
             let index = search.candidates[place];
-            // It may have been chosen since it was weighed, or tried enough.
+            // The score may be stale: the worker may have been chosen since, or its trial limit
+            // reached.
             self.effort.count_workers_examined(1);
-            match self.weigh(request, index, now_us) {
-                Some(now) if now <= score => {
-                    search.best.push(Reverse((score, place)));
+            match self.score_if_eligible(request, index, now_us) {
+                Some(current) if current <= score => {
+                    search.by_score.push(Reverse((score, place)));
                     return Some(index);
                 }
-                Some(now) => search.best.push(Reverse((now, place))),
+                Some(current) => search.by_score.push(Reverse((current, place))),
                 None => {}
             }
         }
@@ -123,98 +125,105 @@
         None
     }
 
-    /// The score of a worker, unless it may not take the task.
-    fn weigh(&self, request: &Request<'_>, index: WorkerIndex, now_us: u64) -> Option<Score> {
+    /// Returns the score of a worker, or `None` if the worker may not take the task.
+    fn score_if_eligible(
+        &self,
+        request: &PlacementRequest<'_>,
+        index: WorkerIndex,
+        now_us: u64,
+    ) -> Option<Score> {
         let worker = &self.workers[index as usize];
         let is_open = worker.is_open(now_us);
-        let may_take = (is_open || (request.takes_closed && worker.is_available()))
+        let is_eligible = (is_open || (request.accepts_closed && worker.is_available()))
             && worker.has_capacity_for(&request.step.allocation())
             && !(request.awaits_separation && worker.isolated_tasks > 0)
-            && may_run(request, index, worker)
-            && request.advised.is_none_or(|group| self.ticket(group, index, now_us).is_some());
-        if !may_take {
+            && meets_constraints(request, index, worker)
+            && request.ticket_group.is_none_or(|group| self.ticket(group, index, now_us).is_some());
+        if !is_eligible {
             return None;
         }
-        let closed = if is_open { 0.0 } else { CLOSED_SCORE };
-        let cold = if worker.is_cold(now_us) && !request.step.fills { COLD_SCORE } else { 0.0 };
-        let suspect = if worker.isolated_tasks > 0 { SUSPECT_SCORE } else { 0.0 };
-        let score = closed + cold + suspect + self.score(request, worker);
+        let closed = if is_open { 0.0 } else { CLOSED_PENALTY };
+        let cold = if worker.is_cold(now_us) && !request.step.fills { COLD_PENALTY } else { 0.0 };
+        let suspect = if worker.isolated_tasks > 0 { SUSPECT_PENALTY } else { 0.0 };
+        let score = closed + cold + suspect + self.placement_score(request, worker);
         score.is_finite().then_some(Score(score))
     }
 
-    /// The workers worth examining, in the order in which equal ones are preferred: those that a
-    /// ticket, a label or the place of the data narrows the choice to, else a bounded number of those
-    /// that fit best.
-    fn to_examine(&self, request: &Request<'_>) -> Vec<WorkerIndex> {
-        let Request { step, service, .. } = request;
-        if let Some(group) = request.advised {
-            return self.with_tickets(group);
+    /// Returns the candidate workers in the order in which equally scored ones are preferred: the
+    /// workers selected by tickets, a label or the rack of the data, plus a bounded number of best
+    /// fits if neither tickets nor a label are required.
+    fn find_candidates(&self, request: &PlacementRequest<'_>) -> Vec<WorkerIndex> {
+        let PlacementRequest { step, service, .. } = request;
+        if let Some(group) = request.ticket_group {
+            return self.workers_with_tickets(group);
         }
-        let charge = step.allocation();
+        let allocation = step.allocation();
         if !step.label.is_empty() {
-            return self.capacity_index.with_label(service, &step.label, &charge);
+            return self.capacity_index.with_label(service, &step.label, &allocation);
         }
         let mut candidates = Vec::new();
         let data_rack = Some(&step.data_rack).filter(|rack| !rack.is_empty());
         for rack in data_rack.into_iter().chain(request.chosen_racks.last()) {
-            candidates.extend(self.capacity_index.with_label(service, rack, &charge));
+            candidates.extend(self.capacity_index.with_label(service, rack, &allocation));
         }
         candidates.extend(if step.fills {
             self.capacity_index.least_crowded(service, request.image)
         } else {
-            self.capacity_index.tightest_fit(service, &charge)
+            self.capacity_index.tightest_fit(service, &allocation)
         });
         candidates
     }
 
-    fn score(&self, request: &Request<'_>, worker: &Worker) -> f64 {
+    fn placement_score(&self, request: &PlacementRequest<'_>, worker: &Worker) -> f64 {
         let step = request.step;
         let is_remote = !step.data_rack.is_empty() && step.data_rack != worker.entry.rack;
-        let is_off_rack = step.wants_one_rack
+        let is_outside_chosen_racks = step.wants_one_rack
             && !request.chosen_racks.is_empty()
             && !request.chosen_racks.contains(&worker.entry.rack);
-        let distance = if is_remote || is_off_rack { REMOTE_SCORE } else { 0.0 };
-        let room = if step.fills {
-            self.filling_score(request, worker)
+        let distance = if is_remote || is_outside_chosen_racks { REMOTE_PENALTY } else { 0.0 };
+        let fit = if step.fills {
+            self.best_effort_score(request, worker)
         } else {
             packing_score(request, worker)
         };
-        // Prefer workers with few tasks, to limit the runs lost if the suspect crashes its worker.
+        // Prefer workers with few tasks to limit the runs lost if the suspect crashes its worker.
         let tasks_at_risk = if request.is_isolated { worker.tasks.len() as f64 } else { 0.0 };
-        distance + room + tasks_at_risk
+        distance + fit + tasks_at_risk
     }
 }
 
-fn may_run(request: &Request<'_>, index: WorkerIndex, worker: &Worker) -> bool {
+fn meets_constraints(request: &PlacementRequest<'_>, index: WorkerIndex, worker: &Worker) -> bool {
     let step = request.step;
-    let is_spread = step.max_per_worker == 0
-        || request.beside.get(&index).copied().unwrap_or(0) < step.max_per_worker;
+    let is_below_step_limit = step.max_per_worker == 0
+        || request.tasks_by_worker.get(&index).copied().unwrap_or(0) < step.max_per_worker;
     worker.entry.service == request.service
-        && is_spread
+        && is_below_step_limit
         && (step.label.is_empty() || worker.entry.labels.contains(&step.label))
 }
 
-/// Added to the score of a lasting task for each serving image on the worker that is not its own:
-/// more than any fit, so that images are mixed only when no worker without lasting tasks is left. An
-/// image that fills harms many of the serving images, and each one more on a worker closes it to more
-/// of what fills.
-const OTHER_IMAGE: f64 = 3.0;
-
-/// The same for a worker without lasting tasks: dearer than any fit beside tasks of the own image,
-/// cheaper than mixing.
-const EMPTY_WORKER: f64 = 0.3;
-
-/// Best fit on processors. Lasting tasks go beside others of their kind first, those of their own
-/// image before all: the fewer serving images a worker has, the more images that fill are harmless
-/// there.
-fn packing_score(request: &Request<'_>, worker: &Worker) -> f64 {
+/// Penalty of a worker for a long-running task, for each other serving image on the worker. It
+/// exceeds any difference in fit, so images are mixed only if no worker without long-running tasks
+/// is left.
+///
+/// A best-effort image harms many of the serving images, so each additional serving image closes
+/// the worker to more best-effort images.
+const MIXED_IMAGE_PENALTY: f64 = 3.0;
+
+/// Penalty of a worker without long-running tasks for a long-running task: higher than any fit on
+/// a worker that serves only its own image, lower than the penalty for mixing images.
+const EMPTY_WORKER_PENALTY: f64 = 0.3;
+
+/// Best-fit score by free CPU. Long-running tasks are packed with other long-running tasks,
+/// preferably of their own image: the fewer serving images a worker has, the more best-effort
+/// images are harmless there.
+fn packing_score(request: &PlacementRequest<'_>, worker: &Worker) -> f64 {
     let step = request.step;
     let capacity = worker.entry.capacity.cpu_milli.max(1) as f64;
-    let left = worker.free().cpu_milli.saturating_sub(step.need.cpu_milli) as f64 / capacity;
+    let free_after = worker.free().cpu_milli.saturating_sub(step.need.cpu_milli) as f64 / capacity;
     if !step.is_lasting {
-        return left;
+        return free_after;
     }
-    let others = worker.serving.iter().filter(|image| *image != request.image).count();
-    let is_empty = if worker.lasting == 0 { EMPTY_WORKER } else { 0.0 };
-    left + others as f64 * OTHER_IMAGE + is_empty
+    let other_images = worker.serving.iter().filter(|image| *image != request.image).count();
+    let empty_worker = if worker.lasting == 0 { EMPTY_WORKER_PENALTY } else { 0.0 };
+    free_after + other_images as f64 * MIXED_IMAGE_PENALTY + empty_worker
 }
--- a/crates/agatesill_policy/src/fleet/plan.rs
+++ b/crates/agatesill_policy/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Which waiting tasks go first, and the choice of a worker for each.
+//! The planning loop: places waiting tasks in rank order and chooses a worker for each.
 
 use std::collections::HashMap;
 
@@ -7,68 +7,72 @@
 use super::US_PER_MS;
 use super::images::ImageId;
 use super::job::{JobPhase, Step, TaskRef, TaskState};
-use super::place::{Request, Search};
+use super::place::{PlacementRequest, WorkerSearch};
 use super::state::{Fleet, TaskGroup};
 use super::usage::TaskKind;
 use super::worker::WorkerIndex;
 
-/// How long a lasting task waits for a sound worker before it takes any. It may be missing for six
-/// seconds in all, starts included.
-const LASTING_WAIT_US: u64 = 1_500 * US_PER_MS;
+/// Time a long-running task waits for a healthy worker before it accepts one that is closed after
+/// failures.
+///
+/// A long-running task may be missing for six seconds in all, starts included.
+const HEALTHY_WORKER_TIMEOUT_US: u64 = 1_500 * US_PER_MS;
 
-/// Tasks that may be starting at once for further ones of less urgent queues to be placed.
+/// Number of starting tasks from which tasks of non-urgent queues are no longer placed.
 ///
-/// Guards against a planner that lacks processor time and goes on choosing: records and orders then wait
-/// for seconds, those of urgent and lasting tasks behind thousands of batch tasks, and starts are given up
-/// before they are sent.
-const MOST_STARTING: u32 = 1_024;
+/// A planner that lacks CPU time would otherwise keep choosing workers faster than starts are
+/// carried out. Records and orders would wait for seconds, those of urgent and long-running tasks
+/// behind thousands of batch tasks, and starts would be given up before they are sent.
+const MAX_STARTING_TASKS: u32 = 1_024;
 
-/// A need that found no worker in this round; no equal or larger one is tried after it.
+/// A demand that fitted no worker in this planning round; equal or larger demands are skipped.
 #[derive(Debug)]
-struct Misfit {
+struct UnplacedDemand {
     service: String,
-    charge: Resources,
-    /// The image of a task that fills: another one may be welcome where this one does harm.
+    allocation: Resources,
+    /// Image of a best-effort task; `None` for other tasks. Another image may be accepted by
+    /// workers where this one harms serving tasks.
     fills: Option<ImageId>,
 }
 
-/// What the tasks of one group have in common.
+/// Placement parameters shared by the tasks of one group.
 #[derive(Clone, Copy, Debug)]
-struct Setting<'a> {
+struct GroupContext<'a> {
     step: &'a Step,
     image: ImageId,
     service: &'a str,
-    advised: Option<TaskGroup>,
-    takes_closed: bool,
+    ticket_group: Option<TaskGroup>,
+    accepts_closed: bool,
 }
 
 impl Fleet {
-    /// Chooses workers for as many waiting tasks as fit; `now_ms` is the wall clock. What was chosen
-    /// is ordered once its record is committed.
+    /// Chooses workers for as many waiting tasks as fit. `now_ms` is the wall clock.
+    ///
+    /// The start of a chosen task is ordered only after the record of the choice is committed.
     pub fn plan(&mut self, now_us: u64, now_ms: u64) {
         self.set_wall_clock(now_us, now_ms);
         if self.waiting.is_empty() {
             return;
         }
-        let mut misfits = Vec::new();
-        let mut left = Vec::new();
+        let mut unplaced = Vec::new();
+        let mut remaining = Vec::new();
         for ranked in self.ranked(now_us, now_ms) {
-            self.place_group(ranked.group, &mut misfits, now_us);
+            self.place_group(ranked.group, &mut unplaced, now_us);
             if self.waiting.contains(&ranked.group) {
-                left.push((ranked.group, ranked.density));
+                remaining.push((ranked.group, ranked.density));
             }
         }
-        self.preempt_for_urgent(&left, now_us);
+        self.preempt_for_urgent(&remaining, now_us);
     }
 
-    fn place_group(&mut self, group: TaskGroup, misfits: &mut Vec<Misfit>, now_us: u64) {
+    fn place_group(&mut self, group: TaskGroup, unplaced: &mut Vec<UnplacedDemand>, now_us: u64) {
         let Some(job) = self.job(group.job) else {
             self.waiting.remove(&group);
             return;
         };
         let step = job.spec.steps[group.step as usize].clone();
         let service = self.terms(job).service.clone();
-        let advised = self.terms(job).needs_advice.then_some(group);
+        let ticket_group = self.terms(job).needs_advice.then_some(group);
         let waiting: Vec<u32> = job
             .tasks_of(group.occurrence, group.step)
             .filter(|task| job.tasks[*task as usize].state == TaskState::Waiting)
@@ -82,124 +86,135 @@
             self.waiting.remove(&group);
             return;
         }
-        if self.terms(job).priority > 0 && self.starting >= MOST_STARTING {
+        if self.terms(job).priority > 0 && self.starting >= MAX_STARTING_TASKS {
             return;
         }
         if step.is_gang && tasks.len() < step.count as usize {
-            // The others still end; a gang starts only as a whole.
+            // Other members are not ready to start yet, and a gang starts only as a whole.
             return;
         }
         if step.is_lasting && self.is_held_back(group, now_us) {
             return;
         }
-        // A lasting task has no attempts to lose; where only a failing worker has room, it goes back
-        // there after a moment rather than being missing until that worker is tried again.
-        let waits_us =
-            tasks.iter().map(|t| job.tasks[*t as usize].idle_us(now_us)).max().unwrap_or(0);
-        let takes_closed = step.is_lasting && waits_us > LASTING_WAIT_US;
-        let charge = step.allocation();
+        // A long-running task has no limit on attempts. If only a closed worker has capacity, the
+        // task goes there after a short wait instead of being missing until that worker reopens.
+        let wait_us =
+            tasks.iter().map(|task| job.tasks[*task as usize].idle_us(now_us)).max().unwrap_or(0);
+        let accepts_closed = step.is_lasting && wait_us > HEALTHY_WORKER_TIMEOUT_US;
+        let allocation = step.allocation();
         let image = job.images[group.step as usize];
         let fills = step.fills.then_some(image);
-        let is_hopeless = |misfit: &Misfit| {
-            misfit.service == service
-                && misfit.fills == fills
-                && charge.holds(&misfit.charge)
+        let is_known_unplaceable = |demand: &UnplacedDemand| {
+            demand.service == service
+                && demand.fills == fills
+                && allocation.holds(&demand.allocation)
                 && step.label.is_empty()
         };
-        if !takes_closed && misfits.iter().any(is_hopeless) {
+        if !accepts_closed && unplaced.iter().any(is_known_unplaceable) {
             return;
         }
-        let setting = Setting { step: &step, image, service: &service, advised, takes_closed };
-        // A task that waits for a worker without other suspects may fail to be placed although there is room,
-        // so its group is no evidence that other groups do not fit.
+        let context =
+            GroupContext { step: &step, image, service: &service, ticket_group, accepts_closed };
+        // A task that waits for a worker without other suspects may fail to be placed despite free
+        // capacity, so its group is no evidence that other groups do not fit.
         let awaits_separation = tasks
             .iter()
             .any(|task| self.awaits_separation(TaskRef { job: group.job, task: *task }, now_us));
-        let placed = self.place_tasks(group, &setting, &tasks, now_us);
+        let placed = self.place_tasks(group, &context, &tasks, now_us);
         if placed == waiting.len() {
             self.waiting.remove(&group);
         } else if placed == tasks.len() {
             // The remaining tasks are backing off; the group stays waiting.
-        } else if advised.is_some() {
-            self.ask_advice(group, &service, now_us);
+        } else if ticket_group.is_some() {
+            self.request_advice(group, &service, now_us);
         } else if !awaits_separation
             && step.label.is_empty()
             && step.max_per_worker == 0
             && !step.is_gang
         {
-            misfits.push(Misfit { service, charge, fills });
+            unplaced.push(UnplacedDemand { service, allocation, fills });
         }
     }
 
-    /// Places the tasks of one step; returns how many found a worker. Of a gang, all or none.
+    /// Chooses workers for the tasks of one group and returns how many tasks were placed. A gang is
+    /// placed as a whole or not at all.
     fn place_tasks(
         &mut self,
         group: TaskGroup,
-        setting: &Setting<'_>,
+        context: &GroupContext<'_>,
         tasks: &[u32],
         now_us: u64,
     ) -> usize {
-        let mut beside = self.members_by_worker(group);
+        let mut tasks_by_worker = self.count_tasks_by_worker(group);
         let mut racks: Vec<String> = Vec::new();
         let mut chosen: Vec<TaskRef> = Vec::with_capacity(tasks.len());
-        let mut search: Option<Search> = None;
-        let Setting { step, image, service, advised, takes_closed } = *setting;
+        let mut search: Option<WorkerSearch> = None;
+        let GroupContext { step, image, service, ticket_group, accepts_closed } = *context;
         for task in tasks {
-            let at = TaskRef { job: group.job, task: *task };
-            let is_isolated = self.is_isolated(at);
-            let awaits_separation = self.awaits_separation(at, now_us);
-            let request = Request {
+            let task_ref = TaskRef { job: group.job, task: *task };
+            let is_isolated = self.is_isolated(task_ref);
+            let awaits_separation = self.awaits_separation(task_ref, now_us);
+            let request = PlacementRequest {
                 step,
                 service,
                 image,
-                beside: &beside,
-                advised,
-                takes_closed,
+                tasks_by_worker: &tasks_by_worker,
+                ticket_group,
+                accepts_closed,
                 is_isolated,
                 awaits_separation,
                 chosen_racks: &racks,
             };
             // An isolated task is scored differently, so its search is not shared with other tasks.
-            let mut examined = match search.take().filter(|_| !is_isolated) {
-                Some(examined) => examined,
+            let mut worker_search = match search.take().filter(|_| !is_isolated) {
+                Some(worker_search) => worker_search,
                 None => self.search(&request, now_us),
             };
-            let worker = match self.choose_worker(&request, &mut examined, now_us) {
+            let worker = match self.choose_worker(&request, &mut worker_search, now_us) {
                 Some(worker) => worker,
                 None if awaits_separation => continue,
                 None => break,
             };
-            *beside.entry(worker).or_default() += 1;
+            *tasks_by_worker.entry(worker).or_default() += 1;
             if step.wants_one_rack {
-                // The racks chosen so far change the score of every worker: the next task searches anew.
+                // The chosen racks change the score of every worker, so the next task needs a new
+                // search.
                 racks.push(self.workers[worker as usize].entry.rack.clone());
             } else if !is_isolated {
-                search = Some(examined);
+                search = Some(worker_search);
             }
-            self.allocate(at, worker, TaskState::Chosen(worker));
-            chosen.push(at);
+            self.allocate(task_ref, worker, TaskState::Chosen(worker));
+            chosen.push(task_ref);
         }
-        if chosen.len() < tasks.len() && setting.step.is_gang {
-            chosen.iter().for_each(|at| self.release(*at, TaskState::Waiting, now_us));
+        if chosen.len() < tasks.len() && context.step.is_gang {
+            chosen.iter().for_each(|task_ref| self.release(*task_ref, TaskState::Waiting, now_us));
             return 0;
         }
         if !chosen.is_empty() {
-            self.number_runs(group, &chosen, setting.step.is_gang, now_us);
+            self.assign_run_numbers(group, &chosen, context.step.is_gang, now_us);
         }
         chosen.len()
     }
 
-    /// Gives each chosen task its next run number; the members of a gang share one.
-    fn number_runs(&mut self, group: TaskGroup, chosen: &[TaskRef], is_gang: bool, now_us: u64) {
+    /// Assigns each chosen task its next run number; the members of a gang share one.
+    fn assign_run_numbers(
+        &mut self,
+        group: TaskGroup,
+        chosen: &[TaskRef],
+        is_gang: bool,
+        now_us: u64,
+    ) {
         self.mark_urgent(group.job, now_us);
         let Some(job) = self.jobs[group.job as usize].as_mut() else { return };
         let version = job.version;
-        let highest = chosen.iter().map(|at| job.tasks[at.task as usize].run).max().unwrap_or(0);
-        let waited_ms = chosen.iter().map(|at| job.tasks[at.task as usize].since_us).min();
+        let highest_run =
+            chosen.iter().map(|task_ref| job.tasks[task_ref.task as usize].run).max().unwrap_or(0);
+        let waited_ms =
+            chosen.iter().map(|task_ref| job.tasks[task_ref.task as usize].since_us).min();
         let waited_ms = now_us.saturating_sub(waited_ms.unwrap_or(now_us)) / US_PER_MS;
-        for at in chosen {
-            let task = &mut job.tasks[at.task as usize];
-            task.run = if is_gang { highest } else { task.run } + 1;
+        for task_ref in chosen {
+            let task = &mut job.tasks[task_ref.task as usize];
+            task.run = if is_gang { highest_run } else { task.run } + 1;
             task.chosen_version = version;
             task.preempted = false;
             task.since_us = now_us;
@@ -211,24 +226,23 @@
     fn log_choices(&self, group: TaskGroup, chosen: &[TaskRef], waited_ms: u64) {
         let Some(job) = self.job(group.job) else { return };
         let step = &job.spec.steps[group.step as usize];
-        for at in chosen {
-            let task = &job.tasks[at.task as usize];
+        for task_ref in chosen {
+            let task = &job.tasks[task_ref.task as usize];
             let Some(worker) = task.state.worker() else { continue };
             let worker = &self.workers[worker as usize];
             log::info!(event = "task_placed", job = job.spec.id.as_str(), step = group.step,
-                task = at.task, run = task.run, worker = worker.entry.id.as_str(),
+                task = task_ref.task, run = task.run, worker = worker.entry.id.as_str(),
                 kind = TaskKind::of(step).name(), cpu_milli = step.need.cpu_milli,
                 waited_ms = waited_ms,
                 without_run_ms = task.idle_us(task.since_us) / US_PER_MS,
                 failed_starts = task.failed_starts,
-                used_cpu_milli = worker.used.cpu_milli,
-                filling_milli = worker.best_effort_cpu_milli,
+                used_cpu_milli = worker.used.cpu_milli, filling_milli = worker.best_effort_cpu_milli,
                 used_memory_mb = worker.used.memory_mb, lasting = worker.lasting,
                 answer_age_ms = task.since_us.saturating_sub(worker.answered_us) / 1_000; "");
         }
     }
 
-    fn members_by_worker(&self, group: TaskGroup) -> HashMap<WorkerIndex, u32> {
+    fn count_tasks_by_worker(&self, group: TaskGroup) -> HashMap<WorkerIndex, u32> {
         let mut members = HashMap::new();
         if let Some(job) = self.job(group.job) {
             job.tasks_of(group.occurrence, group.step)
--- a/crates/agatesill_policy/src/fleet/retry_after.rs
+++ b/crates/agatesill_policy/src/fleet/retry_after.rs
@@ -1,16 +1,18 @@
-//! When callers that were refused in an outage should come back.
+//! Retry-After of callers that are refused during a store outage.
 //!
-//! Load pattern: the store is away for some seconds and every caller is refused; each tries a few times
-//! and gives up. Told to come back after a second each time, all have given up when it returns.
+//! Load pattern: the store is unavailable for some seconds and every caller is refused. Each caller
+//! retries a few times and then gives up. With a constant Retry-After of a second, all have given
+//! up by the time the store is available again.
 
-/// Shortest time to come back: an outage that has just begun may be a lost connection.
-const LEAST_MS: u64 = 1_000;
+/// Minimum Retry-After: an outage that has just begun may be a lost connection.
+const MIN_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Longest time: nobody should wait for long after the return.
-const MOST_MS: u64 = 8_000;
+/// Maximum Retry-After: no caller should wait for long after the store is available again.
+const MAX_RETRY_AFTER_MS: u64 = 8_000;
 
-/// The time after which a caller should come back in an outage that has lasted for `away_ms`: nothing
-/// else being known, it lasts as long again.
+/// Returns the time after which a caller should retry in an outage that has lasted for `away_ms`.
+///
+/// With nothing else known, the outage is expected to last as long again.
 pub fn retry_after_ms(away_ms: u64) -> u32 {
-    away_ms.clamp(LEAST_MS, MOST_MS) as u32
+    away_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS) as u32
 }
--- a/crates/agatesill_policy/src/fleet/slow.rs
+++ b/crates/agatesill_policy/src/fleet/slow.rs
@@ -1,50 +1,57 @@
-//! Workers that turn slow without failing anything.
+//! Detection of workers that become slow without failing any task.
 //!
-//! Load pattern: a sixth of the workers run everything several times slower for some seconds, and go on
-//! answering. A wide step nearly always has a task on one of them, so most urgent jobs are late though
-//! five workers in six are sound. Nothing fails, so failures do not show it, and callers' estimates are
-//! further off than the slowness. But the tasks of one step are alike: each is compared with the others.
+//! Load pattern: a sixth of the workers run everything several times slower for some seconds and
+//! keep answering. A wide step nearly always has a task on one of them, so most urgent jobs are
+//! late although five workers in six are healthy. Failure counts do not show slow workers because
+//! nothing fails, and the callers' estimates are less accurate than the slowdown is large. The
+//! tasks of one step are alike, so each task is compared with the other tasks of its step.
 
 use super::US_PER_MS;
 use super::job::{Step, TaskRef, TaskState};
 use super::state::Fleet;
 use super::worker::{RunRow, WorkerIndex};
 
-/// A task below this share of its step's mean speed is slow. Tasks of a step differ by less.
-const SLOW_SHARE: f64 = 0.45;
+/// Ratio of a task's speed to the mean of its step below which the task is slow. Tasks of a step on
+/// healthy workers differ by less.
+const SLOW_SPEED_RATIO: f64 = 0.45;
 
-/// Samples of a step's speed before tasks are compared with it.
-const LEAST_SAMPLES: u32 = 4;
+/// Minimum number of speed samples of a step before tasks are compared with their mean.
+const MIN_SAMPLES: u32 = 4;
 
-/// How long a task must have run before its progress tells its speed.
-const LEAST_RUN_US: u64 = 200 * US_PER_MS;
+/// Minimum run time before a task's progress is a measure of its speed.
+const MIN_RUN_US: u64 = 200 * US_PER_MS;
 
-/// Share of its processors that a task that fills must get for its progress to tell the worker's speed.
-const LEAST_FED: f64 = 0.5;
+/// Minimum fraction of its requested CPU that a best-effort task must get for its progress to be a
+/// measure of the worker's speed.
+const MIN_CPU_FRACTION: f64 = 0.5;
 
-/// Answers in a row with more slow tasks than others after which a worker counts as slow.
-const SLOW_ANSWERS: u32 = 2;
+/// Number of consecutive polls with more slow tasks than others after which a worker is slow.
+const SLOW_POLLS: u32 = 2;
 
-/// Slow tasks in one answer, and no other, that show as much.
-const SURELY_SLOW: u32 = 3;
+/// Number of slow tasks in a single poll without any other task after which a worker is slow.
+const CONCLUSIVE_SLOW_TASKS: u32 = 3;
 
-/// How long a slow worker gets no tasks at first; each further time doubles it.
-const PAUSE_US: u64 = 1_500 * US_PER_MS;
+/// Time a slow worker gets no tasks at first; it doubles with each further closure.
+const INITIAL_CLOSURE_US: u64 = 1_500 * US_PER_MS;
 
-/// Doublings of that pause: such a worker is tried again before long.
-const MOST_DOUBLINGS: u32 = 2;
+/// Maximum number of doublings of [`INITIAL_CLOSURE_US`], so that a slow worker is tried again
+/// before long.
+const MAX_CLOSURE_DOUBLINGS: u32 = 2;
 
-/// Runs of a task after which it is left where it is: moving again and again would lose more.
-const MOST_RUNS: u32 = 2;
+/// Highest run number at which a task is still moved; repeated moves would lose more than they
+/// gain.
+const MAX_MOVED_RUN: u32 = 2;
 
-/// By how much longer than anew a task must have to run for a move to be worth the work that is lost.
-const MOVE_FACTOR: f64 = 1.5;
+/// Factor by which the remaining time on the slow worker must exceed the time elsewhere for a move
+/// to be worth the lost work.
+const MIN_MOVE_GAIN: f64 = 1.5;
 
-/// Time that a move costs: the stop has to be listed before the task may start elsewhere.
-const MOVE_US: f64 = (500 * US_PER_MS) as f64;
+/// Cost of a move: the worker has to report the stop before the task may start elsewhere.
+const MOVE_COST_US: f64 = (500 * US_PER_MS) as f64;
 
-/// How fast the tasks of one step have run, in parts of a task a microsecond. The mean of speeds, not
-/// of times: a few slow tasks hardly move it.
+/// Speed samples of the tasks of one step, in fractions of a task per microsecond.
+///
+/// The mean is taken over speeds, not over run times, because a few slow tasks hardly change it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StepSpeed {
     sum: f64,
@@ -57,60 +64,70 @@
         self.samples += 1;
     }
 
-    /// The mean, once it rests on enough samples.
+    /// Returns the mean speed once there are [`MIN_SAMPLES`] samples.
     fn mean(self) -> Option<f64> {
-        (self.samples >= LEAST_SAMPLES).then(|| self.sum / f64::from(self.samples))
+        (self.samples >= MIN_SAMPLES).then(|| self.sum / f64::from(self.samples))
     }
 }
 
-/// What the newest answer of a worker showed of its speed.
+/// Speed of a worker's tasks, as compared with the other tasks of their steps.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkerSpeed {
+    /// Slow samples since the last evaluation.
     slow: u32,
+    /// Other samples since the last evaluation.
     usual: u32,
-    /// Answers in a row with more slow tasks than others.
-    slow_answers: u32,
-    /// Times in a row that it was closed for being slow.
-    pauses: u32,
+    /// Consecutive polls with more slow tasks than others.
+    slow_polls: u32,
+    /// Consecutive closures for being slow.
+    closures: u32,
 }
 
 impl Fleet {
-    /// Takes in how far a run has come.
+    /// Samples the speed of a running task from its reported progress.
     pub(super) fn sample_speed(
         &mut self,
         index: WorkerIndex,
-        at: TaskRef,
+        task_ref: TaskRef,
         row: &RunRow,
         now_us: u64,
     ) {
-        let Some(job) = self.job(at.job) else { return };
-        let (step, task) = (job.step(at.task), &job.tasks[at.task as usize]);
+        let Some(job) = self.job(task_ref.job) else { return };
+        let (step, task) = (job.step(task_ref.task), &job.tasks[task_ref.task as usize]);
         let ran_us = now_us.saturating_sub(task.measured_us);
-        if ran_us < LEAST_RUN_US || !self.is_comparable(index, at) {
+        if ran_us < MIN_RUN_US || !self.is_comparable(index, task_ref) {
             return;
         }
-        let fed =
+        let cpu_fraction =
             if step.fills { row.figure as f64 / step.need.cpu_milli.max(1) as f64 } else { 1.0 };
-        if fed < LEAST_FED {
+        if cpu_fraction < MIN_CPU_FRACTION {
             return;
         }
         let done = f64::from(row.percent.min(100).saturating_sub(task.start_percent)) / 100.0;
-        self.compare(index, at, done / ran_us as f64 / fed.min(1.0));
+        self.compare_with_step(index, task_ref, done / ran_us as f64 / cpu_fraction.min(1.0));
     }
 
-    /// Takes in how long a run took that is done now.
-    pub(super) fn sample_completed_run(&mut self, index: WorkerIndex, at: TaskRef, ran_us: u64) {
-        let Some(job) = self.job(at.job) else { return };
-        let done = f64::from(100 - job.tasks[at.task as usize].start_percent.min(100)) / 100.0;
-        if !job.step(at.task).fills && ran_us > 0 && self.is_comparable(index, at) {
-            self.compare(index, at, done / ran_us as f64);
+    /// Samples the speed of a completed run, which took `ran_us`.
+    pub(super) fn sample_completed_run(
+        &mut self,
+        index: WorkerIndex,
+        task_ref: TaskRef,
+        ran_us: u64,
+    ) {
+        let Some(job) = self.job(task_ref.job) else { return };
+        let done =
+            f64::from(100 - job.tasks[task_ref.task as usize].start_percent.min(100)) / 100.0;
+        if !job.step(task_ref.task).fills && ran_us > 0 && self.is_comparable(index, task_ref) {
+            self.compare_with_step(index, task_ref, done / ran_us as f64);
         }
     }
 
-    /// Whether a task's progress tells the speed of its worker; on one that is cold it does not.
-    fn is_comparable(&self, index: WorkerIndex, at: TaskRef) -> bool {
-        let Some(job) = self.job(at.job) else { return false };
-        let (step, task) = (job.step(at.task), &job.tasks[at.task as usize]);
+    /// Whether a task's progress is a measure of its worker's speed. It is not if measured on a
+    /// cold worker, nor for tasks that are long-running, paced, off their data rack or dependent on
+    /// other tasks of the step.
+    fn is_comparable(&self, index: WorkerIndex, task_ref: TaskRef) -> bool {
+        let Some(job) = self.job(task_ref.job) else { return false };
+        let (step, task) = (job.step(task_ref.task), &job.tasks[task_ref.task as usize]);
         task.state == TaskState::Running(index)
             && task.measured_us >= self.workers[index as usize].cold_until_us
             && !step.is_lasting
@@ -118,26 +135,26 @@
             && !step.wants_one_rack
             && task.pace_percent == 100
             && task.slowed_us == 0
-            && is_near_data(step, &self.workers[index as usize].entry.rack)
+            && is_on_data_rack(step, &self.workers[index as usize].entry.rack)
     }
 
-    fn compare(&mut self, index: WorkerIndex, at: TaskRef, speed: f64) {
-        let Some(job) = self.job_mut(at.job) else { return };
-        let (occurrence, step, _) = job.locate(at.task);
+    fn compare_with_step(&mut self, index: WorkerIndex, task_ref: TaskRef, speed: f64) {
+        let Some(job) = self.job_mut(task_ref.job) else { return };
+        let (occurrence, step, _) = job.locate(task_ref.task);
         let place = job.step_position(occurrence, step);
         let mean = job.speeds[place].mean();
         job.speeds[place].add(speed);
         let Some(mean) = mean else { return };
         let worker = &mut self.workers[index as usize].speed;
-        if speed < mean * SLOW_SHARE {
+        if speed < mean * SLOW_SPEED_RATIO {
             worker.slow += 1;
         } else {
             worker.usual += 1;
         }
     }
 
-    /// Judges a worker by the samples of its newest answer. One that turned slow gets no new tasks for a
-    /// while, and what would take too long there starts elsewhere.
+    /// Evaluates the samples of a worker's newest poll. A worker that became slow gets no new tasks
+    /// for some time, and tasks that would end sooner elsewhere are moved.
     pub(super) fn detect_slow_worker(&mut self, index: WorkerIndex, now_us: u64) {
         let worker = &mut self.workers[index as usize];
         let seen = &mut worker.speed;
@@ -146,62 +163,67 @@
             return;
         }
         if slow <= usual {
-            seen.slow_answers = 0;
-            seen.pauses = 0;
+            seen.slow_polls = 0;
+            seen.closures = 0;
             return;
         }
-        seen.slow_answers += 1;
-        let is_sure = slow >= SURELY_SLOW && usual == 0;
-        if seen.slow_answers < SLOW_ANSWERS && !is_sure {
+        seen.slow_polls += 1;
+        let is_conclusive = slow >= CONCLUSIVE_SLOW_TASKS && usual == 0;
+        if seen.slow_polls < SLOW_POLLS && !is_conclusive {
             return;
         }
         if now_us >= worker.closed_until_us {
-            let pause_us = PAUSE_US << seen.pauses.min(MOST_DOUBLINGS);
-            seen.pauses += 1;
-            worker.closed_until_us = now_us + pause_us;
+            let closure_us = INITIAL_CLOSURE_US << seen.closures.min(MAX_CLOSURE_DOUBLINGS);
+            seen.closures += 1;
+            worker.closed_until_us = now_us + closure_us;
             self.counts.slow_workers += 1;
             log::warn!(event = "worker_slow", worker = worker.entry.id.as_str(), slow = slow,
-                usual = usual, for_ms = pause_us / US_PER_MS; "no new tasks");
+                usual = usual, for_ms = closure_us / US_PER_MS;
+                "worker is slow; placing no new tasks on it");
         }
-        self.leave_slow(index, now_us);
+        self.move_tasks_off_slow_worker(index, now_us);
     }
 
-    /// Stops the tasks that end sooner if they start again elsewhere.
-    fn leave_slow(&mut self, index: WorkerIndex, now_us: u64) {
+    /// Stops the tasks that end sooner if they are started again elsewhere.
+    fn move_tasks_off_slow_worker(&mut self, index: WorkerIndex, now_us: u64) {
         let tasks = &self.workers[index as usize].tasks;
-        let moving: Vec<TaskRef> = tasks
+        let tasks_to_move: Vec<TaskRef> = tasks
             .iter()
             .copied()
-            .filter(|at| self.ends_sooner_elsewhere(index, *at, now_us))
+            .filter(|task_ref| self.ends_sooner_elsewhere(index, *task_ref, now_us))
             .collect();
-        for at in moving {
-            log::info!(event = "task_moved", job = self.job_id(at.job), task = at.task,
-                worker = self.workers[index as usize].entry.id.as_str(); "its worker is slow");
-            self.stop(at, now_us);
+        for task_ref in tasks_to_move {
+            log::info!(event = "task_moved", job = self.job_id(task_ref.job), task = task_ref.task,
+                worker = self.workers[index as usize].entry.id.as_str();
+                "moving task off a slow worker");
+            self.stop(task_ref, now_us);
         }
     }
 
-    fn ends_sooner_elsewhere(&self, index: WorkerIndex, at: TaskRef, now_us: u64) -> bool {
-        let Some(job) = self.job(at.job).filter(|_| self.is_comparable(index, at)) else {
+    fn ends_sooner_elsewhere(&self, index: WorkerIndex, task_ref: TaskRef, now_us: u64) -> bool {
+        let Some(job) = self.job(task_ref.job).filter(|_| self.is_comparable(index, task_ref))
+        else {
             return false;
         };
-        let (occurrence, step, _) = job.locate(at.task);
+        let (occurrence, step, _) = job.locate(task_ref.task);
         let (step, place) = (&job.spec.steps[step as usize], job.step_position(occurrence, step));
-        let task = &job.tasks[at.task as usize];
+        let task = &job.tasks[task_ref.task as usize];
         let ran_us = now_us.saturating_sub(task.measured_us);
-        let Some(mean) = job.speeds[place].mean().filter(|_| ran_us >= LEAST_RUN_US) else {
+        let Some(mean) = job.speeds[place].mean().filter(|_| ran_us >= MIN_RUN_US) else {
             return false;
         };
         let done = f64::from(task.percent.saturating_sub(task.start_percent)) / 100.0;
         let speed = done / ran_us as f64;
-        let left = 1.0 - f64::from(task.percent.min(100)) / 100.0;
-        let left_elsewhere = if step.saves_progress { left } else { 1.0 };
-        let stays_us = left / speed.max(f64::EPSILON);
-        let moves_us = left_elsewhere / mean * MOVE_FACTOR + MOVE_US;
-        task.run <= MOST_RUNS && speed < mean * SLOW_SHARE && stays_us > moves_us
+        let work_left = 1.0 - f64::from(task.percent.min(100)) / 100.0;
+        let work_elsewhere = if step.saves_progress { work_left } else { 1.0 };
+        let time_here_us = work_left / speed.max(f64::EPSILON);
+        let time_elsewhere_us = work_elsewhere / mean * MIN_MOVE_GAIN + MOVE_COST_US;
+        task.run <= MAX_MOVED_RUN
+            && speed < mean * SLOW_SPEED_RATIO
+            && time_here_us > time_elsewhere_us
     }
 }
 
-fn is_near_data(step: &Step, rack: &str) -> bool {
+fn is_on_data_rack(step: &Step, rack: &str) -> bool {
     step.data_rack.is_empty() || step.data_rack == rack
 }
--- a/crates/agatesill_policy/tests/fleet_colocation.rs
+++ b/crates/agatesill_policy/tests/fleet_colocation.rs
@@ -1,4 +1,4 @@
-//! Tasks that fill beside tasks that serve, under the loads that harm them.
+//! Colocation of best-effort tasks with serving tasks that they can harm.
 
 mod fleet_support;
 
@@ -15,23 +15,24 @@
 }
 
 fn filling(id: &str, image: &str, count: u32) -> JobSpec {
-    let mut fill = step(count);
-    fill.fills = true;
-    fill.saves_progress = true;
-    fill.image = image.to_owned();
-    fill.need.cpu_milli = 2_000;
-    fill.estimate_ms = 30_000;
-    let mut spec = job(id, vec![fill]);
+    let mut best_effort = step(count);
+    best_effort.fills = true;
+    best_effort.saves_progress = true;
+    best_effort.image = image.to_owned();
+    best_effort.need.cpu_milli = 2_000;
+    best_effort.estimate_ms = 30_000;
+    let mut spec = job(id, vec![best_effort]);
     spec.queue = "month-end".to_owned();
     spec.terms.priority = 2;
     spec
 }
 
-/// Sets what the next polls report: the tail of serving images beside the pressing one.
-fn report(rig: &mut Harness, pressing: &str, victim: &str) {
-    for far in rig.workers.values_mut() {
-        let beside = far.running.values().any(|row| row.task.job.starts_with(pressing));
-        for row in far.running.values_mut() {
+/// Sets the figures of the next polls: tasks of job `victim` are over their target on workers that
+/// run a job whose name starts with `harmful`.
+fn set_figures(harness: &mut Harness, harmful: &str, victim: &str) {
+    for fake_worker in harness.workers.values_mut() {
+        let beside = fake_worker.running.values().any(|row| row.task.job.starts_with(harmful));
+        for row in fake_worker.running.values_mut() {
             let serves = row.task.job.starts_with("watch");
             row.percent = if serves { 100 } else { row.percent + 1 };
             row.figure = match row.task.job.as_str() {
@@ -49,178 +50,191 @@
     }
 }
 
-fn paced_to_zero(orders: &[Order]) -> usize {
+fn count_paused(orders: &[Order]) -> usize {
     orders.iter().filter(|order| order.kind == OrderKind::Pace { percent: 0 }).count()
 }
 
-/// One image of batch work is harmless beside the watchers; another, which comes later, raises
-/// their tails twenty times. After a few polls the harmful one is moved off and never comes back there, while the
-/// harmless one keeps its pace.
+/// A harmless best-effort image runs beside serving tasks, and a second image that raises their
+/// tails to nine times the target starts later. After a few polls the harmful task must be moved
+/// elsewhere and stay there, while the harmless one keeps running.
 #[test]
-fn a_harmful_pair_is_told_from_a_harmless_one_and_kept_apart() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
-    rig.fleet.accept(serving("watch-a", "ledger", 2), rig.now_us);
-    rig.settle();
-    rig.poll_all();
-    let home = rig.present("watch-a")[0].0;
-    let other = rig.workers.keys().copied().find(|worker| *worker != home).unwrap();
-    // The other worker is closed for now, so that both images are tried beside the watchers.
-    let id = rig.fleet.worker(other).entry.id.clone();
-    rig.fleet.worker_unlisted(&id);
-    rig.fleet.accept(filling("light", "light", 1), rig.now_us);
-    rig.settle();
+fn harmful_task_is_moved_and_harmless_task_is_kept() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    harness.fleet.accept(serving("watch-a", "ledger", 2), harness.now_us);
+    harness.settle();
+    harness.poll_all();
+    let first_worker = harness.present("watch-a")[0].0;
+    let other_worker =
+        harness.workers.keys().copied().find(|worker| *worker != first_worker).unwrap();
+    // The other worker is not listed at first, so that both images run beside the serving tasks.
+    let id = harness.fleet.worker(other_worker).entry.id.clone();
+    harness.fleet.worker_unlisted(&id);
+    harness.fleet.accept(filling("light", "light", 1), harness.now_us);
+    harness.settle();
     for _ in 0..4 {
-        report(&mut rig, "heavy", "watch-a");
-        rig.advance_ms(500);
-        rig.poll(home);
-        rig.settle();
+        set_figures(&mut harness, "heavy", "watch-a");
+        harness.advance_ms(500);
+        harness.poll(first_worker);
+        harness.settle();
     }
-    rig.fleet.accept(filling("heavy", "heavy", 1), rig.now_us);
-    rig.settle();
-    assert_eq!(rig.present("heavy").len() + rig.present("light").len(), 2);
+    harness.fleet.accept(filling("heavy", "heavy", 1), harness.now_us);
+    harness.settle();
+    assert_eq!(harness.present("heavy").len() + harness.present("light").len(), 2);
     let mut moved = false;
     for round in 0..8 {
-        report(&mut rig, "heavy", "watch-a");
-        rig.advance_ms(500);
-        rig.poll(home);
-        let orders = rig.plan();
+        set_figures(&mut harness, "heavy", "watch-a");
+        harness.advance_ms(500);
+        harness.poll(first_worker);
+        let orders = harness.plan();
         moved |= orders.iter().any(|o| o.kind == OrderKind::Stop && o.task.job == "heavy");
-        orders.iter().for_each(|order| rig.execute(order));
+        orders.iter().for_each(|order| harness.execute(order));
         assert!(
             !orders.iter().any(|o| o.task.job == "light" && matches!(o.kind, OrderKind::Stop)),
-            "round {round}: the harmless image is left alone: {orders:?}"
+            "round {round}: the harmless task is not stopped: {orders:?}"
         );
     }
-    assert!(moved, "the harmful image is moved");
-    assert!(rig.present("heavy").is_empty(), "and finds no place beside what it harms");
+    assert!(moved, "the harmful task is moved");
+    assert!(
+        harness.present("heavy").is_empty(),
+        "the harmful task does not restart beside the serving tasks"
+    );
     let listed = entry(&id, "r1-1");
-    rig.list(listed);
-    rig.poll_all();
-    rig.settle();
-    assert_eq!(rig.present("heavy")[0].0, other, "it goes where nothing serves");
+    harness.list(listed);
+    harness.poll_all();
+    harness.settle();
+    assert_eq!(
+        harness.present("heavy")[0].0,
+        other_worker,
+        "the harmful task runs on the worker without serving tasks"
+    );
 }
 
-/// The cause of a pressed task is not known. Within two fifths of the allowed time everything that
-/// fills beside it stands still, whatever is believed of the images.
+/// A serving task is over its target and the cause is unknown. Shortly after two fifths of the
+/// allowed time all best-effort tasks beside it must be paused or stopped, whatever the model says
+/// of their images.
 #[test]
-fn nothing_that_fills_works_on_beside_a_task_long_over_its_target() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(serving("watch-a", "ledger", 1), rig.now_us);
-    rig.settle();
-    rig.poll_all();
+fn best_effort_tasks_are_paused_beside_a_task_long_over_its_target() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(serving("watch-a", "ledger", 1), harness.now_us);
+    harness.settle();
+    harness.poll_all();
     for index in 0..3 {
-        rig.fleet.accept(filling(&format!("fill{index}"), &format!("image{index}"), 1), rig.now_us);
+        harness
+            .fleet
+            .accept(filling(&format!("fill{index}"), &format!("image{index}"), 1), harness.now_us);
     }
-    rig.settle();
-    let begun_us = rig.now_us;
-    let mut still = 0;
-    while rig.now_us < begun_us + 2_600 * MS {
-        report(&mut rig, "fill", "watch-a");
-        rig.advance_ms(500);
-        rig.poll_all();
-        let orders = rig.plan();
-        still += paced_to_zero(&orders);
-        still += orders.iter().filter(|order| order.kind == OrderKind::Stop).count();
-        orders.iter().for_each(|order| rig.execute(order));
+    harness.settle();
+    let begun_us = harness.now_us;
+    let mut paused = 0;
+    while harness.now_us < begun_us + 2_600 * MS {
+        set_figures(&mut harness, "fill", "watch-a");
+        harness.advance_ms(500);
+        harness.poll_all();
+        let orders = harness.plan();
+        paused += count_paused(&orders);
+        paused += orders.iter().filter(|order| order.kind == OrderKind::Stop).count();
+        orders.iter().for_each(|order| harness.execute(order));
     }
-    assert!(still >= 3, "{still} of 3 stand still after 2.6 of 4 seconds");
+    assert!(paused >= 3, "{paused} of 3 paused or stopped after 2.6 of 4 seconds");
 }
 
-/// Batch work of one image finds no harmless worker. Work of another image behind it in the
-/// queue has one; held up by the first, half of the fleet would stand idle.
+/// No worker accepts the image of the first batch job. A job of another image behind it in the
+/// queue must still be placed; if it waited for the first one, half of the fleet would be idle.
 #[test]
-fn an_image_without_a_place_does_not_hold_up_another() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(serving("watch-a", "ledger", 4), rig.now_us);
-    rig.settle();
-    rig.poll_all();
-    rig.fleet.accept(filling("heavy", "heavy", 1), rig.now_us);
-    rig.settle();
+fn image_without_eligible_workers_does_not_block_another() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(serving("watch-a", "ledger", 4), harness.now_us);
+    harness.settle();
+    harness.poll_all();
+    harness.fleet.accept(filling("heavy", "heavy", 1), harness.now_us);
+    harness.settle();
     for _ in 0..6 {
-        report(&mut rig, "heavy", "watch-a");
-        rig.advance_ms(500);
-        rig.poll_all();
-        rig.settle();
+        set_figures(&mut harness, "heavy", "watch-a");
+        harness.advance_ms(500);
+        harness.poll_all();
+        harness.settle();
     }
-    for far in rig.workers.values_mut() {
-        far.running.values_mut().for_each(|row| row.figure = 30);
+    for fake_worker in harness.workers.values_mut() {
+        fake_worker.running.values_mut().for_each(|row| row.figure = 30);
     }
-    rig.advance_ms(500);
-    rig.poll_all();
-    rig.fleet.accept(filling("heavy2", "heavy", 4), rig.now_us);
-    rig.fleet.accept(filling("light", "light", 1), rig.now_us);
-    rig.settle();
-    assert!(rig.present("heavy2").is_empty());
-    assert_eq!(rig.present("light").len(), 1);
+    harness.advance_ms(500);
+    harness.poll_all();
+    harness.fleet.accept(filling("heavy2", "heavy", 4), harness.now_us);
+    harness.fleet.accept(filling("light", "light", 1), harness.now_us);
+    harness.settle();
+    assert!(harness.present("heavy2").is_empty());
+    assert_eq!(harness.present("light").len(), 1);
 }
 
-/// A pair of images that was never seen is tried with one task at a time. Seven at once raised the
-/// tails of all eight serving tasks of a worker eighteen times.
+/// An unclassified pair of images runs with a single task on a worker. Seven harmful tasks at once
+/// raise the tails of all eight serving tasks of a worker eighteenfold.
 #[test]
-fn an_unknown_pair_is_tried_with_one_task() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(serving("watch-a", "ledger", 3), rig.now_us);
-    rig.settle();
-    rig.poll_all();
-    rig.fleet.accept(filling("fill", "new", 7), rig.now_us);
-    rig.settle();
-    assert_eq!(rig.present("fill").len(), 1);
+fn unclassified_pair_is_limited_to_one_task_per_worker() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(serving("watch-a", "ledger", 3), harness.now_us);
+    harness.settle();
+    harness.poll_all();
+    harness.fleet.accept(filling("fill", "new", 7), harness.now_us);
+    harness.settle();
+    assert_eq!(harness.present("fill").len(), 1);
 }
 
-/// Lasting tasks of the same image go to the same workers, so that each worker has few serving
-/// images and most images that fill are harmless there.
+/// Long-running tasks of the same image are placed on the same workers, so that each worker has few
+/// serving images and most best-effort images are harmless there.
 #[test]
-fn lasting_tasks_are_packed_by_image() {
-    let mut rig =
+fn long_running_tasks_are_packed_by_image() {
+    let mut harness =
         Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1"), entry("w333", "r1-1")]);
-    rig.fleet.accept(serving("watch-a", "ledger", 2), rig.now_us);
-    rig.settle();
-    rig.fleet.accept(serving("watch-b", "limits", 2), rig.now_us);
-    rig.settle();
-    rig.fleet.accept(serving("watch-c", "ledger", 2), rig.now_us);
-    rig.settle();
-    let homes = |rig: &Harness, id: &str| {
-        rig.present(id)
+    harness.fleet.accept(serving("watch-a", "ledger", 2), harness.now_us);
+    harness.settle();
+    harness.fleet.accept(serving("watch-b", "limits", 2), harness.now_us);
+    harness.settle();
+    harness.fleet.accept(serving("watch-c", "ledger", 2), harness.now_us);
+    harness.settle();
+    let workers_of = |harness: &Harness, id: &str| {
+        harness
+            .present(id)
             .iter()
             .map(|(worker, ..)| *worker)
             .collect::<std::collections::BTreeSet<_>>()
     };
-    assert_eq!(homes(&rig, "watch-a"), homes(&rig, "watch-c"));
-    assert_ne!(homes(&rig, "watch-a"), homes(&rig, "watch-b"));
+    assert_eq!(workers_of(&harness, "watch-a"), workers_of(&harness, "watch-c"));
+    assert_ne!(workers_of(&harness, "watch-a"), workers_of(&harness, "watch-b"));
 }
 
-/// The planner dies after it has learned that an image is harmful. Its successor reads what was
-/// learned; without that, it would try the harmful pair again on every worker.
+/// The planner fails after it has learned that an image is harmful. Without the stored state, its
+/// successor would try the harmful pair again on every worker.
 #[test]
-fn what_was_learned_outlives_the_planner() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
+fn learned_interference_survives_a_takeover() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
     let watch = serving("watch-a", "ledger", 3);
-    rig.fleet.accept(watch.clone(), rig.now_us);
-    rig.settle();
-    rig.poll_all();
-    rig.fleet.accept(filling("heavy", "heavy", 1), rig.now_us);
-    rig.settle();
+    harness.fleet.accept(watch.clone(), harness.now_us);
+    harness.settle();
+    harness.poll_all();
+    harness.fleet.accept(filling("heavy", "heavy", 1), harness.now_us);
+    harness.settle();
     for _ in 0..4 {
-        report(&mut rig, "heavy", "watch-a");
-        rig.advance_ms(500);
-        rig.poll_all();
-        rig.settle();
+        set_figures(&mut harness, "heavy", "watch-a");
+        harness.advance_ms(500);
+        harness.poll_all();
+        harness.settle();
     }
-    let learned = serde_json::to_string(&rig.fleet.learned()).unwrap();
-    rig.fleet = rig.successor(&[watch], vec![entry("w1", "r1-1")]);
-    rig.fleet.restore_learned(&serde_json::from_str(&learned).unwrap());
-    rig.poll_all();
-    rig.fleet.accept(filling("again", "heavy", 1), rig.now_us);
-    rig.fleet.accept(filling("light", "light", 1), rig.now_us);
-    rig.settle();
-    assert!(rig.present("again").is_empty(), "the harmful image is known");
-    assert_eq!(rig.present("light").len(), 1, "another one is tried");
+    let learned = serde_json::to_string(&harness.fleet.learned()).unwrap();
+    harness.fleet = harness.successor(&[watch], vec![entry("w1", "r1-1")]);
+    harness.fleet.restore_learned(&serde_json::from_str(&learned).unwrap());
+    harness.poll_all();
+    harness.fleet.accept(filling("again", "heavy", 1), harness.now_us);
+    harness.fleet.accept(filling("light", "light", 1), harness.now_us);
+    harness.settle();
+    assert!(harness.present("again").is_empty(), "the harmful image is not tried again");
+    assert_eq!(harness.present("light").len(), 1, "an unclassified image is tried");
 }
 
-/// Sets the tails of all tasks of a job, in hundredths of their target, and what fillers use.
-fn tails(rig: &mut Harness, job: &str, percent_of_target: u64) {
-    for far in rig.workers.values_mut() {
-        for row in far.running.values_mut() {
+/// Sets the tails of all tasks of a job, in percent of their target, and the CPU usage of
+/// best-effort tasks.
+fn tails(harness: &mut Harness, job: &str, percent_of_target: u64) {
+    for fake_worker in harness.workers.values_mut() {
+        for row in fake_worker.running.values_mut() {
             if row.task.job == job {
                 row.percent = 100;
                 row.figure = percent_of_target;
@@ -232,99 +246,103 @@
     }
 }
 
-/// Two workers reserve the same for lasting tasks, but one has callers just now and the other has
-/// not. Batch work goes to the idle one; sent to the busy one it doubles tails at the next rise.
+/// Long-running tasks reserve the same on two workers but are busy on only one of them. Batch work
+/// must go to the idle worker; on the busy one it doubles the tails when the load rises further.
 #[test]
-fn work_that_fills_goes_where_lasting_tasks_have_little_to_do() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
-    rig.fleet.accept(serving("watch-a", "ledger", 5), rig.now_us);
-    rig.fleet.accept(serving("watch-b", "ledger", 5), rig.now_us);
-    rig.settle();
-    tails(&mut rig, "watch-a", 70);
-    tails(&mut rig, "watch-b", 30);
-    rig.poll_all();
-    let idle = rig.present("watch-b")[0].0;
-    assert!(rig.present("watch-a").iter().all(|(worker, ..)| *worker != idle));
-    rig.fleet.accept(filling("bills", "light", 1), rig.now_us);
-    rig.settle();
-    assert_eq!(rig.present("bills")[0].0, idle);
+fn best_effort_tasks_prefer_workers_with_low_load() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    harness.fleet.accept(serving("watch-a", "ledger", 5), harness.now_us);
+    harness.fleet.accept(serving("watch-b", "ledger", 5), harness.now_us);
+    harness.settle();
+    tails(&mut harness, "watch-a", 70);
+    tails(&mut harness, "watch-b", 30);
+    harness.poll_all();
+    let idle = harness.present("watch-b")[0].0;
+    assert!(harness.present("watch-a").iter().all(|(worker, ..)| *worker != idle));
+    harness.fleet.accept(filling("bills", "light", 1), harness.now_us);
+    harness.settle();
+    assert_eq!(harness.present("bills")[0].0, idle);
 }
 
-/// Batch work fills what watchers leave, and the watchers' callers come back. No tail is over its
-/// target yet, but the worker is about to be full, and then all tails double within one poll. What
-/// fills is slowed before, and let go when the callers have left.
+/// Batch work uses the CPU that serving tasks leave unused, and the load of the serving tasks
+/// rises. No tail is over its target yet, but all of them would double within one poll once the
+/// worker is saturated. Best-effort tasks must be slowed before that, and sped up again when the
+/// load has dropped.
 #[test]
-fn a_worker_about_to_be_full_is_thinned_out_before_tails_pass_their_target() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(serving("watch-a", "ledger", 5), rig.now_us);
-    rig.settle();
-    tails(&mut rig, "watch-a", 30);
-    rig.poll_all();
+fn best_effort_tasks_are_slowed_before_tails_exceed_their_target() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(serving("watch-a", "ledger", 5), harness.now_us);
+    harness.settle();
+    tails(&mut harness, "watch-a", 30);
+    harness.poll_all();
     for image in ["light", "pale", "thin"] {
-        rig.fleet.accept(filling(image, image, 1), rig.now_us);
+        harness.fleet.accept(filling(image, image, 1), harness.now_us);
     }
-    rig.settle();
+    harness.settle();
     let paces = |orders: &[Order], wanted: u32| {
         let is_wanted = |order: &&Order| order.kind == OrderKind::Pace { percent: wanted };
         orders.iter().filter(is_wanted).count()
     };
     for (tail, pace) in [(80, 50), (90, 25)] {
-        tails(&mut rig, "watch-a", tail);
-        rig.advance_ms(500);
-        rig.poll_all();
-        let slowed = rig.plan();
+        tails(&mut harness, "watch-a", tail);
+        harness.advance_ms(500);
+        harness.poll_all();
+        let slowed = harness.plan();
         assert_eq!(paces(&slowed, pace), 3, "{slowed:?}");
-        slowed.iter().for_each(|order| rig.execute(order));
+        slowed.iter().for_each(|order| harness.execute(order));
     }
-    let mut back = 0;
+    let mut restored = 0;
     for _ in 0..4 {
-        tails(&mut rig, "watch-a", 30);
-        rig.advance_ms(500);
-        rig.poll_all();
-        let orders = rig.plan();
-        back += paces(&orders, 100);
-        orders.iter().for_each(|order| rig.execute(order));
+        tails(&mut harness, "watch-a", 30);
+        harness.advance_ms(500);
+        harness.poll_all();
+        let orders = harness.plan();
+        restored += paces(&orders, 100);
+        orders.iter().for_each(|order| harness.execute(order));
     }
-    assert_eq!(back, 3, "let go again");
+    assert_eq!(restored, 3, "all tasks are back at full pace");
 }
 
-/// A grown site has eighteen images that fill. The last of them harms the watchers, the one before
-/// does not. If the two share a place in the fit, the harmless one hides the other, or is closed for
-/// its fault.
+/// A larger deployment has eighteen best-effort images, of which only the last one is harmful. If
+/// the last two shared a feature of the model, the harmless one would hide the harmful one or be
+/// excluded with it.
 #[test]
-fn the_eighteenth_image_is_told_from_the_seventeenth() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(serving("watch-a", "ledger", 2), rig.now_us);
-    rig.settle();
+fn eighteenth_image_is_modelled_separately() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(serving("watch-a", "ledger", 2), harness.now_us);
+    harness.settle();
     let names: Vec<String> = (0..17).map(|n| format!("light{n}")).collect();
     for image in &names {
-        rig.fleet.accept(filling(image, image, 1), rig.now_us);
-        rig.settle();
+        harness.fleet.accept(filling(image, image, 1), harness.now_us);
+        harness.settle();
         for _ in 0..6 {
-            report(&mut rig, "heavy", "watch-a");
-            rig.advance_ms(500);
-            rig.poll_all();
+            set_figures(&mut harness, "heavy", "watch-a");
+            harness.advance_ms(500);
+            harness.poll_all();
         }
-        for (worker, task, run) in rig.present(image) {
-            rig.end(worker, &task, run, agatesill_policy::fleet::EndCause::Done);
+        for (worker, task, run) in harness.present(image) {
+            harness.end(worker, &task, run, agatesill_policy::fleet::EndCause::Done);
         }
-        rig.poll_all();
-        rig.settle();
+        harness.poll_all();
+        harness.settle();
     }
-    rig.fleet.accept(filling("heavy", "heavy", 1), rig.now_us);
-    rig.settle();
+    harness.fleet.accept(filling("heavy", "heavy", 1), harness.now_us);
+    harness.settle();
     for _ in 0..6 {
-        report(&mut rig, "heavy", "watch-a");
-        rig.advance_ms(500);
-        rig.poll_all();
-        rig.settle();
+        set_figures(&mut harness, "heavy", "watch-a");
+        harness.advance_ms(500);
+        harness.poll_all();
+        harness.settle();
     }
-    assert!(rig.present("heavy").is_empty(), "moved off, and finds no place beside what it harms");
-    report(&mut rig, "heavy", "watch-a");
-    rig.poll_all();
-    rig.fleet.accept(filling("more", "light16", 1), rig.now_us);
-    rig.settle();
-    assert_eq!(rig.present("more").len(), 1, "its neighbour is welcome still");
+    assert!(
+        harness.present("heavy").is_empty(),
+        "the harmful task is moved and does not restart there"
+    );
+    set_figures(&mut harness, "heavy", "watch-a");
+    harness.poll_all();
+    harness.fleet.accept(filling("more", "light16", 1), harness.now_us);
+    harness.settle();
+    assert_eq!(harness.present("more").len(), 1, "the image before it is still accepted");
 }
 
 fn lasting(id: &str, image: &str, count: u32, cpu_milli: u64) -> JobSpec {
@@ -333,89 +351,91 @@
     spec
 }
 
-/// A worker is nearly full of watchers of one image, another is empty. A small watcher of another
-/// image fits into the last core of the first. Placed there, it closes that worker to every image of
-/// batch work that harms either of the two, though the empty worker costs nothing.
+/// One worker is nearly full of serving tasks of one image, and another is empty. A small serving
+/// task of a second image would fit into the last core of the first worker. Placed there, it would
+/// exclude every best-effort image that harms either of the two, although the empty worker is
+/// available at no cost.
 #[test]
 fn serving_images_are_not_mixed_while_a_worker_is_empty() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
-    rig.fleet.accept(lasting("watch-a", "ledger", 5, 3_000), rig.now_us);
-    rig.settle();
-    rig.fleet.accept(lasting("watch-b", "audit", 1, 1_000), rig.now_us);
-    rig.settle();
-    let first = rig.present("watch-a")[0].0;
-    assert!(rig.present("watch-a").iter().all(|(worker, ..)| *worker == first));
-    assert_ne!(rig.present("watch-b")[0].0, first, "the empty worker is taken");
+    let mut harness = Harness::new(vec![entry("w1", "r1-1"), entry("w22", "r1-1")]);
+    harness.fleet.accept(lasting("watch-a", "ledger", 5, 3_000), harness.now_us);
+    harness.settle();
+    harness.fleet.accept(lasting("watch-b", "audit", 1, 1_000), harness.now_us);
+    harness.settle();
+    let first = harness.present("watch-a")[0].0;
+    assert!(harness.present("watch-a").iter().all(|(worker, ..)| *worker == first));
+    assert_ne!(harness.present("watch-b")[0].0, first, "the empty worker is chosen");
 }
 
-/// A new image of batch work comes while eight workers serve the same image. Nobody knows yet
-/// whether the pair harms. Tried everywhere at once, all eight would be over their target in the same
-/// second; three trials tell as much.
+/// A new best-effort image arrives while eight workers run the same serving image. Tried on all of
+/// them at once, a harmful pair would put all eight over their target in the same second; three
+/// trials classify the pair as well.
 #[test]
-fn an_unknown_pair_is_tried_on_a_few_workers_at_once() {
+fn unclassified_pair_is_limited_to_three_workers() {
     let entries = (0..8).map(|index| entry(&format!("w{index}"), "r1-1")).collect();
-    let mut rig = Harness::new(entries);
-    rig.fleet.accept(lasting("watch-a", "ledger", 8, 9_000), rig.now_us);
-    rig.settle();
-    rig.poll_all();
-    rig.fleet.accept(filling("new", "new", 8), rig.now_us);
-    rig.settle();
-    assert_eq!(rig.present("new").len(), 3, "the pair is tried on three workers");
+    let mut harness = Harness::new(entries);
+    harness.fleet.accept(lasting("watch-a", "ledger", 8, 9_000), harness.now_us);
+    harness.settle();
+    harness.poll_all();
+    harness.fleet.accept(filling("new", "new", 8), harness.now_us);
+    harness.settle();
+    assert_eq!(harness.present("new").len(), 3, "the unclassified pair runs on three workers");
     for _ in 0..60 {
-        report(&mut rig, "heavy", "watch-a");
-        rig.advance_ms(500);
-        rig.poll_all();
-        rig.settle();
+        set_figures(&mut harness, "heavy", "watch-a");
+        harness.advance_ms(500);
+        harness.poll_all();
+        harness.settle();
     }
-    assert_eq!(rig.present("new").len(), 8, "once it is known to be harmless it goes everywhere");
+    assert_eq!(harness.present("new").len(), 8, "the pair is harmless and runs on all workers");
 }
 
-/// Watchers reserve fifteen of sixteen processors and use less than half of them; their tails stand at
-/// half of the target. Batch work of an image that is known to be harmless waits in heaps. It gets
-/// two thirds of what the watchers leave unused, in place of less than half.
+/// Serving tasks reserve fifteen of sixteen CPUs and use less than half of them, with tails at half
+/// of the target. A large backlog of a harmless best-effort image must get two thirds of the unused
+/// CPU, not less than half.
 #[test]
-fn work_that_fills_takes_what_a_reserved_floor_leaves_unused() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(lasting("watch-a", "ledger", 5, 3_000), rig.now_us);
-    rig.settle();
-    rig.poll_all();
-    let poll = |rig: &mut Harness| {
-        rig.settle();
-        for far in rig.workers.values_mut() {
-            for row in far.running.values_mut() {
+fn best_effort_tasks_use_reserved_but_unused_cpu() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(lasting("watch-a", "ledger", 5, 3_000), harness.now_us);
+    harness.settle();
+    harness.poll_all();
+    let poll = |harness: &mut Harness| {
+        harness.settle();
+        for fake_worker in harness.workers.values_mut() {
+            for row in fake_worker.running.values_mut() {
                 let serves = row.task.job.starts_with("watch");
                 row.percent = if serves { 100 } else { row.percent + 1 };
                 row.figure = if serves { 50 } else { 2_000 };
             }
         }
-        rig.advance_ms(500);
-        rig.poll_all();
+        harness.advance_ms(500);
+        harness.poll_all();
     };
-    (0..40).for_each(|_| poll(&mut rig));
-    rig.fleet.accept(filling("fill", "plan", 30), rig.now_us);
-    (0..40).for_each(|_| poll(&mut rig));
-    // Watchers use about 6.3 of 16 processors; each of these tasks asks for two.
-    let cores = rig.present("fill").len() * 2;
-    assert!(cores >= 6, "{cores} of about 9.7 processors");
-    assert!(cores <= 10, "{cores} of about 9.7 processors");
+    (0..40).for_each(|_| poll(&mut harness));
+    harness.fleet.accept(filling("fill", "plan", 30), harness.now_us);
+    (0..40).for_each(|_| poll(&mut harness));
+    // Serving tasks use about 6.3 of 16 CPUs; each of these tasks requests two.
+    let cores = harness.present("fill").len() * 2;
+    assert!(cores >= 6, "{cores} of about 9.7 CPUs");
+    assert!(cores <= 10, "{cores} of about 9.7 CPUs");
 }
 
-/// On a worker of 64 cores a task of seven processors raises a watcher's tail by an eighth: 0.018 of
-/// its logarithm for each processor, which on a worker of 16, where a task has two, is nothing. Judged
-/// by processors the pair passes for harmless, and eight such tasks raise the tail 2.7 times.
+/// On a worker with 64 cores, a task that uses seven of them raises a serving task's tail by an
+/// eighth, or its logarithm by 0.018 per CPU. On a worker with 16 cores, where a task uses two,
+/// such a weight is negligible. Classified by weight per CPU, the pair would be harmless, and eight
+/// such tasks would raise the tail 2.7 times.
 #[test]
-fn a_pair_is_judged_by_its_part_of_the_worker() {
+fn pair_is_classified_by_its_share_of_the_worker() {
     let mut big = entry("w1", "r1-1");
     big.capacity.cpu_milli = 64_000;
     big.capacity.memory_mb = 256_000;
-    let mut rig = Harness::new(vec![big]);
-    rig.fleet.accept(lasting("watch-a", "ledger", 2, 12_000), rig.now_us);
-    rig.settle();
-    rig.poll_all();
-    let report = |rig: &mut Harness| {
-        for far in rig.workers.values_mut() {
-            let heavy = far.running.values().filter(|row| row.task.job == "heavy").count();
-            for row in far.running.values_mut() {
+    let mut harness = Harness::new(vec![big]);
+    harness.fleet.accept(lasting("watch-a", "ledger", 2, 12_000), harness.now_us);
+    harness.settle();
+    harness.poll_all();
+    let set_figures = |harness: &mut Harness| {
+        for fake_worker in harness.workers.values_mut() {
+            let heavy = fake_worker.running.values().filter(|row| row.task.job == "heavy").count();
+            for row in fake_worker.running.values_mut() {
                 let serves = row.task.job.starts_with("watch");
                 row.percent = if serves { 100 } else { row.percent + 1 };
                 let tail = 40.0 * (0.018 * 7.0 * heavy as f64).exp();
@@ -423,51 +443,54 @@
             }
         }
     };
-    let mut most = 0;
+    let mut max_running = 0;
     for round in 0..60 {
-        report(&mut rig);
-        rig.advance_ms(500);
-        rig.poll_all();
-        rig.settle();
+        set_figures(&mut harness);
+        harness.advance_ms(500);
+        harness.poll_all();
+        harness.settle();
         if round == 20 {
             let mut heavy = filling("heavy", "heavy", 8);
             heavy.steps[0].need.cpu_milli = 7_000;
-            rig.fleet.accept(heavy, rig.now_us);
+            harness.fleet.accept(heavy, harness.now_us);
         }
-        most = most.max(rig.present("heavy").len());
+        max_running = max_running.max(harness.present("heavy").len());
     }
-    assert!(most <= 1, "{most} at once beside the watchers that they press");
+    assert!(max_running <= 1, "{max_running} harmful tasks at once beside the serving tasks");
 }
 
-/// The load of the watchers rises within a second while batch work of an image that is known to be
-/// harmless uses what they left. Their tails pass the target, no image is to blame, and so nothing was
-/// slowed for another second: the worker is simply full. What fills makes room with the first poll.
+/// The load of serving tasks rises within a second while a harmless best-effort image uses the CPU
+/// they left unused. Their tails exceed the target because the worker is saturated, and no image is
+/// to blame. All best-effort tasks must be slowed at the first poll; waiting for a culprit delays
+/// that by a second.
 #[test]
-fn a_full_worker_makes_room_with_the_first_look_over_target() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(lasting("watch-a", "ledger", 5, 3_000), rig.now_us);
-    rig.settle();
-    rig.poll_all();
-    let poll = |rig: &mut Harness, tail: u64| {
-        for row in rig.workers.values_mut().flat_map(|far| far.running.values_mut()) {
+fn saturated_worker_slows_best_effort_tasks_at_the_first_poll_over_target() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(lasting("watch-a", "ledger", 5, 3_000), harness.now_us);
+    harness.settle();
+    harness.poll_all();
+    let poll = |harness: &mut Harness, tail: u64| {
+        for row in
+            harness.workers.values_mut().flat_map(|fake_worker| fake_worker.running.values_mut())
+        {
             let serves = row.task.job.starts_with("watch");
             row.percent = if serves { 100 } else { row.percent + 1 };
             row.figure = if serves { tail } else { 2_000 };
         }
-        rig.advance_ms(500);
-        rig.poll_all();
-        let orders = rig.plan();
-        orders.iter().for_each(|order| rig.execute(order));
+        harness.advance_ms(500);
+        harness.poll_all();
+        let orders = harness.plan();
+        orders.iter().for_each(|order| harness.execute(order));
         orders
     };
-    (0..40).for_each(|_| drop(poll(&mut rig, 40)));
-    rig.fleet.accept(filling("fill", "plan", 30), rig.now_us);
-    (0..40).for_each(|_| drop(poll(&mut rig, 40)));
-    let at_work = rig.present("fill").len();
-    assert!(at_work >= 3, "{at_work} at work beside the watchers");
-    let orders = poll(&mut rig, 110);
+    (0..40).for_each(|_| drop(poll(&mut harness, 40)));
+    harness.fleet.accept(filling("fill", "plan", 30), harness.now_us);
+    (0..40).for_each(|_| drop(poll(&mut harness, 40)));
+    let running = harness.present("fill").len();
+    assert!(running >= 3, "{running} running beside the serving tasks");
+    let orders = poll(&mut harness, 110);
     let slowed = orders
         .iter()
         .filter(|order| matches!(order.kind, OrderKind::Pace { percent } if percent < 100));
-    assert_eq!(slowed.count(), at_work, "{orders:?}");
+    assert_eq!(slowed.count(), running, "{orders:?}");
 }
--- a/crates/agatesill_policy/tests/fleet_preempt.rs
+++ b/crates/agatesill_policy/tests/fleet_preempt.rs
@@ -1,4 +1,4 @@
-//! Urgent steps on a fleet that lasting tasks have reserved in full.
+//! Preemption of long-running tasks on fleets that they have fully reserved.
 
 mod fleet_support;
 
@@ -22,165 +22,179 @@
     spec
 }
 
-/// Has all watchers at work, and lets them work for six seconds.
-fn at_work(rig: &mut Harness) {
-    rig.settle();
+/// Starts all long-running tasks and lets them run for six seconds.
+fn run_for_six_seconds(harness: &mut Harness) {
+    harness.settle();
     for _ in 0..12 {
-        rig.workers.values_mut().flat_map(|far| far.running.values_mut()).for_each(|row| {
-            row.percent = 100;
-        });
-        rig.advance_ms(500);
-        rig.poll_all();
+        harness
+            .workers
+            .values_mut()
+            .flat_map(|fake_worker| fake_worker.running.values_mut())
+            .for_each(|row| {
+                row.percent = 100;
+            });
+        harness.advance_ms(500);
+        harness.poll_all();
     }
 }
 
-/// Lets 50 ms pass, `times` over, and returns how many lasting tasks were told to stop.
-fn pass(rig: &mut Harness, times: u32) -> usize {
-    let before = rig.orders.len();
+/// Advances the time in `times` steps of 50 ms and returns the number of stops ordered.
+fn advance_counting_stops(harness: &mut Harness, times: u32) -> usize {
+    let before = harness.orders.len();
     for _ in 0..times {
-        rig.advance_ms(50);
-        rig.settle();
-        rig.poll_all();
-        rig.settle();
+        harness.advance_ms(50);
+        harness.settle();
+        harness.poll_all();
+        harness.settle();
     }
-    let stops = |o: &&agatesill_policy::fleet::Order| o.kind == OrderKind::Stop;
-    rig.orders[before..].iter().filter(stops).count()
+    let is_stop = |o: &&agatesill_policy::fleet::Order| o.kind == OrderKind::Stop;
+    harness.orders[before..].iter().filter(is_stop).count()
 }
 
-/// Watchers hold fifteen of sixteen processors for the whole day. An urgent step of two tasks comes,
-/// and one core is free. It would wait for ever; one watcher of five gives way, and the urgent step
-/// starts within a fifth of a second in place of never.
+/// Long-running tasks reserve fifteen of sixteen CPUs permanently, and an urgent step of two tasks
+/// arrives. Without preemption it would never start; with one of five long-running tasks preempted,
+/// it starts within a fifth of a second.
 #[test]
-fn one_lasting_task_gives_way_to_an_urgent_step() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(watch("watch", 5, None), rig.now_us);
-    at_work(&mut rig);
-    rig.fleet.accept(urgent("desk", 2, rig.now_us), rig.now_us);
-    assert_eq!(pass(&mut rig, 4), 1, "one watcher is stopped");
-    assert_eq!(rig.present("watch").len(), 4);
-    assert_eq!(rig.present("desk").len(), 2);
+fn one_long_running_task_is_preempted_for_an_urgent_step() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(watch("watch", 5, None), harness.now_us);
+    run_for_six_seconds(&mut harness);
+    harness.fleet.accept(urgent("desk", 2, harness.now_us), harness.now_us);
+    assert_eq!(advance_counting_stops(&mut harness, 4), 1, "one long-running task is stopped");
+    assert_eq!(harness.present("watch").len(), 4);
+    assert_eq!(harness.present("desk").len(), 2);
 }
 
-/// While urgent steps keep coming, the watcher that gave way would take back its room in each gap
-/// between two of them, at the price of a stop and a start each time. It holds back for two seconds,
-/// and returns when they are over.
+/// A preempted task that competes for capacity at once would start in each gap between two urgent
+/// steps, at the cost of a stop and a start each time. It must wait for two seconds and then start
+/// again.
 #[test]
-fn a_task_that_gave_way_holds_back_and_then_returns() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(watch("watch", 5, Some(1)), rig.now_us);
-    at_work(&mut rig);
-    rig.fleet.accept(urgent("desk", 2, rig.now_us), rig.now_us);
-    pass(&mut rig, 4);
-    for (worker, task, run) in rig.present("desk") {
-        rig.end(worker, &task, run, EndCause::Done);
+fn preempted_task_waits_before_it_starts_again() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(watch("watch", 5, Some(1)), harness.now_us);
+    run_for_six_seconds(&mut harness);
+    harness.fleet.accept(urgent("desk", 2, harness.now_us), harness.now_us);
+    advance_counting_stops(&mut harness, 4);
+    for (worker, task, run) in harness.present("desk") {
+        harness.end(worker, &task, run, EndCause::Done);
     }
-    pass(&mut rig, 10);
-    assert_eq!(rig.present("watch").len(), 4, "it holds back");
-    pass(&mut rig, 40);
-    assert_eq!(rig.present("watch").len(), 5, "and returns");
+    advance_counting_stops(&mut harness, 10);
+    assert_eq!(harness.present("watch").len(), 4, "the preempted task waits");
+    advance_counting_stops(&mut harness, 40);
+    assert_eq!(harness.present("watch").len(), 5, "the preempted task starts again");
 }
 
-/// A second urgent step comes while a watcher is away already. A second one of the same job may not
-/// go: its owner said that one may be missing.
+/// An urgent step needs more capacity than one preemption frees. No second task of the same step
+/// may be preempted, because the step allows one task to be missing.
 #[test]
-fn no_more_lasting_tasks_give_way_than_their_step_allows() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(watch("watch", 5, Some(1)), rig.now_us);
-    at_work(&mut rig);
-    rig.fleet.accept(urgent("desk", 6, rig.now_us), rig.now_us);
-    assert_eq!(pass(&mut rig, 20), 1);
-    assert_eq!(rig.present("watch").len(), 4);
+fn preemptions_do_not_exceed_the_allowance_of_the_step() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(watch("watch", 5, Some(1)), harness.now_us);
+    run_for_six_seconds(&mut harness);
+    harness.fleet.accept(urgent("desk", 6, harness.now_us), harness.now_us);
+    assert_eq!(advance_counting_stops(&mut harness, 20), 1);
+    assert_eq!(harness.present("watch").len(), 4);
 }
 
-/// A job says that none of its tasks may be missing. Its owner is taken at their word, whoever waits.
+/// A step that allows no task to be missing must not be preempted, whichever steps wait.
 #[test]
-fn a_step_without_allowance_never_gives_way() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(watch("watch", 5, Some(0)), rig.now_us);
-    at_work(&mut rig);
-    rig.fleet.accept(urgent("desk", 2, rig.now_us), rig.now_us);
-    assert_eq!(pass(&mut rig, 20), 0);
-    assert_eq!(rig.present("watch").len(), 5);
+fn step_without_allowance_is_not_preempted() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(watch("watch", 5, Some(0)), harness.now_us);
+    run_for_six_seconds(&mut harness);
+    harness.fleet.accept(urgent("desk", 2, harness.now_us), harness.now_us);
+    assert_eq!(advance_counting_stops(&mut harness, 20), 0);
+    assert_eq!(harness.present("watch").len(), 5);
 }
 
-/// An urgent step is late beyond saving. Stopping a watcher for it would cost without serving
-/// anybody in time.
+/// Preemption for an urgent step that can no longer meet its objective would be a cost without
+/// benefit.
 #[test]
-fn nothing_gives_way_to_a_step_that_is_late_already() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(watch("watch", 5, None), rig.now_us);
-    at_work(&mut rig);
-    rig.fleet.accept(urgent("desk", 2, rig.now_us - 9_000 * MS), rig.now_us);
-    assert_eq!(pass(&mut rig, 20), 0);
+fn late_step_causes_no_preemption() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(watch("watch", 5, None), harness.now_us);
+    run_for_six_seconds(&mut harness);
+    harness.fleet.accept(urgent("desk", 2, harness.now_us - 9_000 * MS), harness.now_us);
+    assert_eq!(advance_counting_stops(&mut harness, 20), 0);
 }
 
-/// A watcher fails by its own fault while there is room. It did not give way to anybody, so it starts
-/// again at once; held back like one that did, each failure would cost its callers two more seconds.
+/// A long-running task that fails by its own fault must start again at once if there is capacity.
+/// If it waited like a preempted task, each failure would cost its callers two more seconds.
 #[test]
-fn a_task_that_failed_starts_again_at_once() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(watch("watch", 5, Some(1)), rig.now_us);
-    at_work(&mut rig);
-    let (worker, task, run) = rig.present("watch")[0].clone();
-    rig.end(worker, &task, run, EndCause::Failed);
-    pass(&mut rig, 2);
-    assert_eq!(rig.present("watch").len(), 5);
+fn failed_task_starts_again_at_once() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(watch("watch", 5, Some(1)), harness.now_us);
+    run_for_six_seconds(&mut harness);
+    let (worker, task, run) = harness.present("watch")[0].clone();
+    harness.end(worker, &task, run, EndCause::Failed);
+    advance_counting_stops(&mut harness, 2);
+    assert_eq!(harness.present("watch").len(), 5);
 }
 
-/// A job of watchers comes onto workers that are reserved nearly full, just as urgent steps come that can
-/// still be in time. Watchers never give their room back, so that every step after them would be late.
-/// They leave what is free to urgent steps for two seconds, and are served before all others then.
+/// A long-running job arrives on nearly full workers together with urgent steps that can still meet
+/// their objective. Long-running tasks never free their capacity, so all later urgent steps would
+/// be late. The new tasks must leave free capacity to urgent steps for two seconds, and go before
+/// all others after that.
 #[test]
-fn new_lasting_tasks_leave_free_room_to_urgent_steps_for_a_moment() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(urgent("first", 8, rig.now_us), rig.now_us);
-    rig.settle();
-    rig.fleet.accept(watch("watch", 5, Some(0)), rig.now_us);
-    let mut urgents = 0;
+fn new_long_running_tasks_leave_free_capacity_to_urgent_steps() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(urgent("first", 8, harness.now_us), harness.now_us);
+    harness.settle();
+    harness.fleet.accept(watch("watch", 5, Some(0)), harness.now_us);
+    let mut urgent_rounds = 0;
     for round in 0..5 {
-        rig.advance_ms(500);
-        let spec = urgent(&format!("urgent{round}"), 8, rig.now_us);
-        rig.fleet.accept(spec, rig.now_us);
+        harness.advance_ms(500);
+        let spec = urgent(&format!("urgent{round}"), 8, harness.now_us);
+        harness.fleet.accept(spec, harness.now_us);
         let before = if round == 0 { "first".to_owned() } else { format!("urgent{}", round - 1) };
-        for (worker, task, run) in rig.present(&before) {
-            rig.end(worker, &task, run, EndCause::Done);
+        for (worker, task, run) in harness.present(&before) {
+            harness.end(worker, &task, run, EndCause::Done);
         }
-        rig.poll_all();
-        rig.settle();
-        urgents += usize::from(rig.present("watch").is_empty());
+        harness.poll_all();
+        harness.settle();
+        urgent_rounds += usize::from(harness.present("watch").is_empty());
     }
-    assert!(urgents >= 3, "urgent steps had the room for {urgents} rounds of half a second");
-    assert!(!rig.present("watch").is_empty(), "after two seconds the watchers start");
+    assert!(
+        urgent_rounds >= 3,
+        "urgent steps had the capacity for {urgent_rounds} rounds of half a second"
+    );
+    assert!(!harness.present("watch").is_empty(), "the long-running tasks start after two seconds");
 }
 
-/// A watcher was preempted for an urgent step, and then urgent steps that can be in time came without end,
-/// on workers where they found no more room than they took. The watcher ranked after them all and was
-/// missing for eighteen seconds. It goes first once it has waited for three and a half.
+/// Urgent steps that can meet their objective keep arriving after a preemption and use all capacity
+/// that becomes free. If they always ranked before the preempted task, it would be missing for
+/// eighteen seconds. It must go first once it has waited for three and a half seconds.
 #[test]
-fn a_preempted_task_returns_though_urgent_steps_keep_coming() {
-    let mut rig = Harness::new(vec![entry("w1", "r1-1")]);
-    rig.fleet.accept(watch("watch", 5, Some(1)), rig.now_us);
-    at_work(&mut rig);
+fn preempted_task_starts_again_while_urgent_steps_keep_arriving() {
+    let mut harness = Harness::new(vec![entry("w1", "r1-1")]);
+    harness.fleet.accept(watch("watch", 5, Some(1)), harness.now_us);
+    run_for_six_seconds(&mut harness);
     let mut missing_ms = 0;
     for round in 0..30 {
-        // Two urgent steps for each that the room holds, each over within half a second.
+        // Twice as many urgent steps as the capacity holds, each of which ends within half a
+        // second.
         for part in 0..2 {
-            let spec = urgent(&format!("urgent{round}-{part}"), 2, rig.now_us);
-            rig.fleet.accept(spec, rig.now_us);
+            let spec = urgent(&format!("urgent{round}-{part}"), 2, harness.now_us);
+            harness.fleet.accept(spec, harness.now_us);
         }
-        pass(&mut rig, 10);
-        let over: Vec<_> = rig
+        advance_counting_stops(&mut harness, 10);
+        let ended_runs: Vec<_> = harness
             .workers
             .iter()
-            .flat_map(|(worker, far)| far.running.values().map(move |row| (*worker, row)))
+            .flat_map(|(worker, fake_worker)| {
+                fake_worker.running.values().map(move |row| (*worker, row))
+            })
             .filter(|(_, row)| row.task.job.starts_with("urgent"))
             .map(|(worker, row)| (worker, row.task.clone(), row.run))
             .collect();
-        for (worker, task, run) in over {
-            rig.end(worker, &task, run, EndCause::Done);
+        for (worker, task, run) in ended_runs {
+            harness.end(worker, &task, run, EndCause::Done);
         }
-        let is_missing = rig.present("watch").len() < 5;
+        let is_missing = harness.present("watch").len() < 5;
         missing_ms = if is_missing { missing_ms + 500 } else { 0 };
-        assert!(missing_ms <= 5_000, "round {round}: a watcher is missing for {missing_ms} ms");
+        assert!(
+            missing_ms <= 5_000,
+            "round {round}: a long-running task is missing for {missing_ms} ms"
+        );
     }
 }
