--- a/crates/agatesill/src/commands/job.rs
+++ b/crates/agatesill/src/commands/job.rs
@@ -73,7 +73,7 @@
         let job: JobStatus = admin.get(&format!("/v1/jobs/{name}")).await?;
         bar.set_length(job.tasks.len() as u64);
         bar.set_position(count(&job, "done") as u64);
-        if job.is_over() {
+        if job.is_finished() {
             bar.finish_and_clear();
             output.print(&job, tasks_table);
             return Ok(());
--- a/crates/agatesill_coord/tests/peer_calls.rs
+++ b/crates/agatesill_coord/tests/peer_calls.rs
@@ -30,13 +30,13 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(async move {
-                let mut connection = Framed::new(stream, FrameCodec::for_stranger());
+                let mut connection = Framed::new(stream, FrameCodec::for_handshake());
                 let Some(Ok(Frame { body: Some(Body::Hello(hello)) })) = connection.next().await
                 else {
                     return;
                 };
                 assert!(hello.for_calls);
-                connection.codec_mut().trust();
+                connection.codec_mut().allow_full_frames();
                 let push = ConfigPush { version: 7, json: "x".repeat(100_000) };
                 serve_peer_calls(connection, move |have_version| {
                     (have_version < 7).then(|| push.clone())
--- a/crates/agatesill_standin/src/faults/batch.rs
+++ b/crates/agatesill_standin/src/faults/batch.rs
@@ -267,7 +267,7 @@
             let asked: Result<JobStatus, Error> =
                 self.client.call(Method::GET, daemon.admin_addr, &path, &(), CALL_LIMIT).await;
             let last = match asked {
-                Ok(status) if status.is_over() => return Ok(status),
+                Ok(status) if status.is_finished() => return Ok(status),
                 Ok(status) => format!("{:?}", status.tasks),
                 Err(error) => error.to_string(),
             };
--- a/crates/agatesill_wire/src/api.rs
+++ b/crates/agatesill_wire/src/api.rs
@@ -185,7 +185,7 @@
 
 impl JobStatus {
     /// Whether every task has reached its final state.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         let closed = ["done", "failed", "cancelled"];
         !self.tasks.is_empty() && self.tasks.iter().all(|task| closed.contains(&&*task.state))
     }
--- a/crates/agatesill_wire/src/peer.rs
+++ b/crates/agatesill_wire/src/peer.rs
@@ -182,14 +182,14 @@
 }
 
 impl FrameCodec {
-    /// A codec that takes frames up to [`MAX_HELLO_BYTES`] until [`FrameCodec::trust`].
-    pub fn for_stranger() -> Self {
+    /// A codec that takes frames up to [`MAX_HELLO_BYTES`] until [`FrameCodec::allow_full_frames`].
+    pub fn for_handshake() -> Self {
         let frames = LengthDelimitedCodec::builder().max_frame_length(MAX_HELLO_BYTES).new_codec();
         Self { frames }
     }
 
     /// Takes frames up to [`MAX_FRAME_BYTES`] from now on.
-    pub fn trust(&mut self) {
+    pub fn allow_full_frames(&mut self) {
         self.frames.set_max_frame_length(MAX_FRAME_BYTES);
     }
 }
--- a/crates/agatesill_wire/tests/decoders.rs
+++ b/crates/agatesill_wire/tests/decoders.rs
@@ -75,7 +75,7 @@
     let bytes = prop::collection::vec(any::<u8>(), 0..256);
     runner()
         .run(&bytes, |bytes| {
-            drain(FrameCodec::for_stranger(), &bytes, MAX_HELLO_BYTES);
+            drain(FrameCodec::for_handshake(), &bytes, MAX_HELLO_BYTES);
             drain(FrameCodec::default(), &bytes, MAX_FRAME_BYTES);
             let mut framed = BytesMut::new();
             framed.put_u32(bytes.len() as u32);
--- a/crates/agatesilld/src/peers.rs
+++ b/crates/agatesilld/src/peers.rs
@@ -308,7 +308,7 @@
     }
 
     async fn listen(self, stream: TcpStream, stop: CancellationToken) {
-        let mut link = Framed::new(stream, FrameCodec::for_stranger());
+        let mut link = Framed::new(stream, FrameCodec::for_handshake());
         let hello = tokio::time::timeout(HELLO_LIMIT, link.next()).await;
         let Ok(Some(Ok(Frame { body: Some(Body::Hello(hello)) }))) = hello else { return };
         let known = self.settings.members.contains_key(&hello.instance);
@@ -317,7 +317,7 @@
                 protocol_version = hello.protocol_version; "");
             return;
         }
-        link.codec_mut().trust();
+        link.codec_mut().allow_full_frames();
         if hello.for_calls {
             let peers = self.clone();
             tokio::select! {
--- a/crates/agatesilld/tests/cells.rs
+++ b/crates/agatesilld/tests/cells.rs
@@ -85,7 +85,7 @@
         let started = Instant::now();
         loop {
             let status = self.show(nth, id).await;
-            if status.is_over() {
+            if status.is_finished() {
                 return status;
             }
             assert!(started.elapsed() < LIMIT, "{id} never ended: {status:?}");
