--- a/crates/agatesill_bench/src/capacity/configuration.rs
+++ b/crates/agatesill_bench/src/capacity/configuration.rs
@@ -33,7 +33,7 @@
                 let length = serde_json::to_string(&made).unwrap_or_default().len();
                 bytes.add(f64::from(entries), length as f64);
                 busy.add(f64::from(entries), change_us);
-                let books = standin.books();
+                let books = standin.audit();
                 let all = (books.reads + books.writes) as f64;
                 calls.add(f64::from(entries), all / f64::from(CHANGES + 1));
             }
--- a/crates/agatesill_bench/src/capacity/ledger.rs
+++ b/crates/agatesill_bench/src/capacity/ledger.rs
@@ -94,7 +94,7 @@
             continue;
         }
         let seconds = COMMIT_SECONDS as f64;
-        let books = standin.books();
+        let books = standin.audit();
         writes.add(rate as f64, books.writes as f64 / seconds);
         bytes.add(rate as f64, books.written_bytes as f64 / seconds);
         busy.add(rate as f64, started.elapsed().as_micros() as f64 / seconds);
--- a/crates/agatesill_bench/src/control/cost.rs
+++ b/crates/agatesill_bench/src/control/cost.rs
@@ -69,9 +69,9 @@
     })
     .await?;
     tokio::time::sleep(SETTLE).await;
-    let (books, ticks) = (fleet.rig.store.books(), all_ticks(&fleet));
+    let (books, ticks) = (fleet.rig.store.audit(), all_ticks(&fleet));
     tokio::time::sleep(COUNT_FOR).await;
-    let (books_after, ticks_after) = (fleet.rig.store.books(), all_ticks(&fleet));
+    let (books_after, ticks_after) = (fleet.rig.store.audit(), all_ticks(&fleet));
     let seconds = COUNT_FOR.as_secs_f64();
     let most_ticks = ticks_after.iter().zip(&ticks).map(|(after, before)| after - before).max();
     let most_kb = fleet.daemons.iter().map(|daemon| resident_kb(daemon.id())).max();
--- a/crates/agatesill_bench/src/control/outage.rs
+++ b/crates/agatesill_bench/src/control/outage.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use agatesill_standin::store::{StoreBooks, StoreFaults};
+use agatesill_standin::store::{StoreAudit, StoreFaults};
 use agatesill_wire::prelude::*;
 
 use super::Measured;
@@ -97,13 +97,13 @@
 
 /// Store calls a second over `time`, and in its worst second.
 async fn rate(fleet: &Fleet, time: Duration) -> (f64, f64) {
-    let calls = |books: StoreBooks| books.writes + books.reads;
-    let first = calls(fleet.rig.store.books());
+    let calls = |books: StoreAudit| books.writes + books.reads;
+    let first = calls(fleet.rig.store.audit());
     let (mut last, mut worst) = (first, 0);
     let seconds = time.as_secs();
     for _ in 0..seconds {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let now = calls(fleet.rig.store.books());
+        let now = calls(fleet.rig.store.audit());
         worst = worst.max(now - last);
         last = now;
     }
--- a/crates/agatesill_bench/src/control/rig.rs
+++ b/crates/agatesill_bench/src/control/rig.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use agatesill_policy::prelude::{Resources, Team, WorkerSpec};
-use agatesill_standin::rig::{DaemonProcess, Rig, RigSizes};
+use agatesill_standin::harness::{DaemonProcess, Harness, HarnessSizes};
 use agatesill_standin::store::StoreFaults;
 use agatesill_wire::api::{ConfigChange, StatusReport, VersionedConfig};
 use agatesill_wire::http::JsonClient;
@@ -32,7 +32,7 @@
 
 /// Daemon processes around one store.
 pub struct Fleet {
-    pub rig: Rig,
+    pub rig: Harness,
     pub daemons: Vec<DaemonProcess>,
     pub client: JsonClient,
     folder: PathBuf,
@@ -44,9 +44,9 @@
         let unique = format!("agatesill-control-{}-{daemons}", std::process::id());
         let folder = std::env::temp_dir().join(unique);
         std::fs::create_dir_all(&folder)?;
-        let sizes = RigSizes { daemons, upstreams: 8, slots: 8, service_us: 0 };
-        let rig = Rig::start(sizes, adjust).await?;
-        rig.upstreams.iter().for_each(|one| one.keep_no_books());
+        let sizes = HarnessSizes { daemons, upstreams: 8, slots: 8, service_us: 0 };
+        let rig = Harness::start(sizes, adjust).await?;
+        rig.upstreams.iter().for_each(|one| one.disable_request_audit());
         let mut fleet = Self { rig, daemons: Vec::new(), client: JsonClient::default(), folder };
         fleet.well();
         for nth in 0..daemons {
--- a/crates/agatesill_bench/src/faults.rs
+++ b/crates/agatesill_bench/src/faults.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use agatesill_standin::faults::{
-    RunReport, Schedule, ScheduleLimits, batch, daemon_beside_this_program, requests, run_seed,
+    RunReport, Schedule, ScheduleLimits, batch, requests, run_seed, sibling_daemon_binary,
 };
 
 use crate::result::{Check, PolicyResult, SeedResult};
@@ -68,7 +68,7 @@
     F: Fn(PathBuf, Schedule) -> R,
     R: Future<Output = RunReport>,
 {
-    let binary = daemon_beside_this_program()
+    let binary = sibling_daemon_binary()
         .ok_or("no agatesilld beside this program; run `cargo build -p agatesilld` first")?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
--- a/crates/agatesill_bench/src/wire/load.rs
+++ b/crates/agatesill_bench/src/wire/load.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use agatesill_standin::rig::SERVICE;
+use agatesill_standin::harness::SERVICE;
 use agatesilld::relay::{CALLER_HEADER, DEADLINE_HEADER, KEY_HEADER, SERVICE_HEADER};
 use bytes::Bytes;
 use futures::future::join_all;
--- a/crates/agatesill_bench/src/wire/mod.rs
+++ b/crates/agatesill_bench/src/wire/mod.rs
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use agatesill_standin::rig::{DaemonProcess, Rig, RigSizes};
+use agatesill_standin::harness::{DaemonProcess, Harness, HarnessSizes};
 use agatesill_wire::prelude::*;
 use agatesilld::prelude::Settings;
 use hdrhistogram::Histogram;
@@ -79,14 +79,14 @@
     let folder = std::env::temp_dir().join(format!("agatesill-wire-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let log = folder.join("daemon.log");
-    let sizes = RigSizes { daemons: 1, upstreams: 50, slots: 8, service_us: 0 };
-    let rig = Rig::start(sizes, |settings: &mut Settings| {
+    let sizes = HarnessSizes { daemons: 1, upstreams: 50, slots: 8, service_us: 0 };
+    let rig = Harness::start(sizes, |settings: &mut Settings| {
         settings.entry.relay_threads = 2;
         settings.log.level = "info".to_owned();
         settings.log.path = log.display().to_string();
     })
     .await?;
-    rig.upstreams.iter().for_each(|one| one.keep_no_books());
+    rig.upstreams.iter().for_each(|one| one.disable_request_audit());
     let daemon = DaemonProcess::start(&binary()?, &rig.settings[0], &folder)?;
     rig.configure().await?;
     let entry = vec![rig.settings[0].entry.addr];
--- a/crates/agatesill_standin/src/caller.rs
+++ b/crates/agatesill_standin/src/caller.rs
@@ -19,7 +19,7 @@
 
 /// One request.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct CallerRequest {
     /// Its identity, by which the upstreams keep books.
     pub id: String,
     /// Its service.
@@ -40,12 +40,12 @@
     pub attempt: u32,
     /// Idempotency key; empty takes the identity. Otherwise an answer may carry the identity of
     /// any attempt: the key, `#` and its number.
-    pub once: String,
+    pub idempotency_key: String,
 }
 
 /// What came back.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum CallOutcome {
     /// A whole answer of the upstream: its status and body.
     Answer(u16, Bytes),
     /// An error body of the daemon.
@@ -56,10 +56,10 @@
     Wrong(u16, Bytes),
 }
 
-impl Heard {
+impl CallOutcome {
     /// Whether a refusal says that the request was not run.
     pub fn says_not_run(&self) -> bool {
-        matches!(self, Heard::Failed(body) if body.was_run == WasRun::No)
+        matches!(self, CallOutcome::Failed(body) if body.was_run == WasRun::No)
     }
 }
 
@@ -85,22 +85,26 @@
 
 impl Caller {
     /// Sends `ask` to the daemon at `entry`; waits a second longer than the deadline.
-    pub async fn send(&self, entry: SocketAddr, ask: &Ask) -> Heard {
+    pub async fn send(&self, entry: SocketAddr, ask: &CallerRequest) -> CallOutcome {
         let limit = Duration::from_millis(ask.deadline_ms + 1_000);
         match tokio::time::timeout(limit, self.exchange(entry, ask)).await {
             Ok(Ok((status, body))) => judge(ask, status, body),
-            Ok(Err(_)) | Err(_) => Heard::Broken,
+            Ok(Err(_)) | Err(_) => CallOutcome::Broken,
         }
     }
 
     /// The same, with the time that it took in microseconds.
-    pub async fn timed(&self, entry: SocketAddr, ask: &Ask) -> (Heard, u64) {
+    pub async fn timed(&self, entry: SocketAddr, ask: &CallerRequest) -> (CallOutcome, u64) {
         let sent = Instant::now();
         let heard = self.send(entry, ask).await;
         (heard, sent.elapsed().as_micros() as u64)
     }
 
-    async fn exchange(&self, entry: SocketAddr, ask: &Ask) -> Result<(u16, Bytes), AnyError> {
+    async fn exchange(
+        &self,
+        entry: SocketAddr,
+        ask: &CallerRequest,
+    ) -> Result<(u16, Bytes), AnyError> {
         let mut request = Request::builder()
             .method(ask.method.as_str())
             .uri(format!("http://{entry}{}", ask.path))
@@ -110,7 +114,7 @@
             .header(DEADLINE_HEADER, ask.deadline_ms)
             .header(REQUEST_ID_HEADER, &ask.id);
         if ask.attempt > 0 {
-            let key = if ask.once.is_empty() { &ask.id } else { &ask.once };
+            let key = if ask.idempotency_key.is_empty() { &ask.id } else { &ask.idempotency_key };
             request = request.header(IDEMPOTENCY_HEADER, key).header(ATTEMPT_HEADER, ask.attempt);
         }
         let request = request.body(Full::new(Bytes::from(ask.body.clone())))?;
@@ -120,16 +124,16 @@
     }
 }
 
-fn judge(ask: &Ask, status: u16, body: Bytes) -> Heard {
+fn judge(ask: &CallerRequest, status: u16, body: Bytes) -> CallOutcome {
     if status >= 400
         && let Ok(error) = serde_json::from_slice(&body)
     {
-        return Heard::Failed(error);
+        return CallOutcome::Failed(error);
     }
-    let ids: Vec<String> = if ask.once.is_empty() {
+    let ids: Vec<String> = if ask.idempotency_key.is_empty() {
         vec![ask.id.clone()]
     } else {
-        (1..=ask.attempt).map(|attempt| format!("{}#{attempt}", ask.once)).collect()
+        (1..=ask.attempt).map(|attempt| format!("{}#{attempt}", ask.idempotency_key)).collect()
     };
     let extra_bytes = ask.path.strip_prefix("/bytes/").and_then(|text| text.parse().ok());
     let is_own = ids.iter().any(|id| {
@@ -137,7 +141,7 @@
         body.len() == start.len() + extra_bytes.unwrap_or(0) && body.starts_with(start.as_bytes())
     });
     if is_own {
-        return Heard::Answer(status, body);
+        return CallOutcome::Answer(status, body);
     }
-    Heard::Wrong(status, body)
+    CallOutcome::Wrong(status, body)
 }
--- a/crates/agatesill_standin/src/demo.rs
+++ b/crates/agatesill_standin/src/demo.rs
@@ -375,7 +375,7 @@
     let mut report = BatchReport { jobs: jobs.len() as u64, ..BatchReport::default() };
     let mut over = vec![false; jobs.len()];
     while over.contains(&false) && started.elapsed() < DEMO_LIMIT / 2 {
-        let books = floor.workers.books();
+        let books = floor.workers.audit();
         for (job, over) in jobs.iter().zip(&mut over) {
             let done = |index: &u32| books.finished.contains_key(&format!("{}/{index}", job.id));
             if !*over && (0..job.tasks).filter(done).count() == job.tasks as usize {
@@ -387,7 +387,7 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let books = floor.workers.books();
+    let books = floor.workers.audit();
     report.evictions = books.stopped;
     report.resumed = books.resumed;
     report
@@ -407,12 +407,12 @@
         .map(|(name, service)| service_report(name, service, doc, replies))
         .collect();
     let mut ran: BTreeMap<String, u32> = BTreeMap::new();
-    for books in floor.upstreams.iter().map(UpstreamStandin::books) {
+    for books in floor.upstreams.iter().map(UpstreamStandin::audit) {
         for (id, times) in books.ran {
             *ran.entry(id).or_default() += times;
         }
     }
-    let books = floor.workers.books();
+    let books = floor.workers.audit();
     let tasks =
         jobs.iter().flat_map(|job| (0..job.tasks).map(|index| format!("{}/{index}", job.id)));
     let finished = |task: String| books.finished.get(&task).copied().unwrap_or(0);
@@ -431,7 +431,7 @@
         invariants.non_repeatable_twice += u64::from(times > 1 && reply.method == "POST");
         invariants.false_not_run += u64::from(reply.says_not_run && times > 0);
     }
-    let _ = floor.store.books();
+    let _ = floor.store.audit();
     DemoReport { services, batch, invariants, config }
 }
 
--- a/crates/agatesill_standin/src/faults/batch.rs
+++ b/crates/agatesill_standin/src/faults/batch.rs
@@ -14,7 +14,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::{FaultKind, RunReport, Schedule, ScheduleLimits, World, WorldOptions, play};
+use super::{FaultKind, RunReport, Schedule, ScheduleLimits, Simulation, SimulationOptions, play};
 
 /// Daemons of a run.
 const DAEMONS: usize = 3;
@@ -63,8 +63,9 @@
 
 /// Runs the scenario with the daemon program at `binary`.
 pub async fn run(binary: &Path, schedule: Schedule) -> RunReport {
-    let options = WorldOptions { binary: binary.to_owned(), base: settings(), daemons: DAEMONS };
-    let world = match World::start(&options).await {
+    let options =
+        SimulationOptions { binary: binary.to_owned(), base: settings(), daemons: DAEMONS };
+    let world = match Simulation::start(&options).await {
         Ok(world) => world,
         Err(error) => {
             let violations = vec![format!("the world did not start: {error}")];
@@ -129,14 +130,14 @@
 }
 
 struct Load<'a> {
-    world: &'a World,
+    world: &'a Simulation,
     client: JsonClient,
     seed: u64,
     started: Instant,
 }
 
 impl<'a> Load<'a> {
-    fn new(world: &'a World, seed: u64) -> Self {
+    fn new(world: &'a Simulation, seed: u64) -> Self {
         Self { world, client: JsonClient::default(), seed, started: Instant::now() }
     }
 
@@ -310,8 +311,8 @@
     serde_json::from_value(spec).unwrap_or_else(|_| unreachable!("the job is well formed"))
 }
 
-fn judge(world: &World, outcome: &Outcome) -> RunReport {
-    let books = world.workers.books();
+fn judge(world: &Simulation, outcome: &Outcome) -> RunReport {
+    let books = world.workers.audit();
     let mut violations = world.panics();
     violations.extend(outcome.unanswered.iter().cloned());
     if books.double_runs > 0 {
@@ -351,7 +352,7 @@
 fn judge_job(
     job: &Submitted,
     ended: Option<&JobStatus>,
-    books: &crate::workers::WorkerBooks,
+    books: &crate::workers::WorkerAudit,
     violations: &mut Vec<String>,
 ) {
     let Some(status) = ended else { return };
@@ -371,7 +372,7 @@
 }
 
 /// Lines of the daemons' logs about the tasks that the violations name.
-fn story(world: &World, violations: &[String]) -> Vec<String> {
+fn story(world: &Simulation, violations: &[String]) -> Vec<String> {
     let words: Vec<String> = violations
         .iter()
         .filter_map(|violation| violation.split_whitespace().next())
@@ -382,7 +383,7 @@
     world.daemons.iter().flat_map(|daemon| daemon.log_lines(&words)).collect()
 }
 
-fn figures(books: &crate::workers::WorkerBooks, outcome: &Outcome) -> Vec<(&'static str, f64)> {
+fn figures(books: &crate::workers::WorkerAudit, outcome: &Outcome) -> Vec<(&'static str, f64)> {
     vec![
         ("jobs_accepted", outcome.jobs.len() as f64),
         ("jobs_ended", outcome.ended.len() as f64),
--- a/crates/agatesill_standin/src/faults/mod.rs
+++ b/crates/agatesill_standin/src/faults/mod.rs
@@ -1,6 +1,6 @@
 //! Randomised fault runs: seeded schedules of faults against real daemons between the stand-ins.
 //!
-//! A scenario builds a [`World`], keeps a load on it while [`play`] carries the schedule out, and
+//! A scenario builds a [`Simulation`], keeps a load on it while [`play`] carries the schedule out, and
 //! judges the stand-ins' books afterwards. The runner knows nothing of the load: batch work is
 //! one scenario ([`batch`]), requests can be another. A failing schedule is shrunk by
 //! [`shrink`] to the fewest faults that still fail.
@@ -10,8 +10,8 @@
 pub mod requests;
 mod schedule;
 mod shrink;
+mod simulation;
 mod trace;
-mod world;
 
 use std::future::Future;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 pub use process::DaemonProcess;
 pub use schedule::{Fault, FaultKind, PlannedFault, Schedule, ScheduleLimits};
 pub use shrink::shrink;
+pub use simulation::{Simulation, SimulationOptions, sibling_daemon_binary};
 pub use trace::Trace;
-pub use world::{World, WorldOptions, daemon_beside_this_program};
 
 /// What one run showed.
 #[derive(Clone, Debug, Default)]
@@ -44,7 +44,7 @@
 }
 
 /// Carries a schedule out against `world`; every fault has ended when it returns.
-pub async fn play(schedule: &Schedule, world: &World) {
+pub async fn play(schedule: &Schedule, world: &Simulation) {
     let faults = schedule.faults.iter().map(|planned| async move {
         tokio::time::sleep(Duration::from_millis(planned.at_ms)).await;
         world.begin(planned.fault).await;
--- a/crates/agatesill_standin/src/faults/requests.rs
+++ b/crates/agatesill_standin/src/faults/requests.rs
@@ -18,8 +18,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::{FaultKind, RunReport, Schedule, ScheduleLimits, World, WorldOptions, play};
-use crate::caller::{Ask, Caller, Heard};
+use super::{FaultKind, RunReport, Schedule, ScheduleLimits, Simulation, SimulationOptions, play};
+use crate::caller::{CallOutcome, Caller, CallerRequest};
 
 /// Daemons of a run.
 const DAEMONS: usize = 3;
@@ -69,8 +69,9 @@
 
 /// Runs the scenario with the daemon program at `binary`.
 pub async fn run(binary: &Path, schedule: Schedule) -> RunReport {
-    let options = WorldOptions { binary: binary.to_owned(), base: settings(), daemons: DAEMONS };
-    let world = match World::start(&options).await {
+    let options =
+        SimulationOptions { binary: binary.to_owned(), base: settings(), daemons: DAEMONS };
+    let world = match Simulation::start(&options).await {
         Ok(world) => world,
         Err(error) => return failed(format!("the world did not start: {error}")),
     };
@@ -108,7 +109,7 @@
     serde_json::from_value(text).unwrap_or_else(|_| unreachable!("the settings are constants"))
 }
 
-async fn configure(world: &World, seed: u64) -> Result<(), Error> {
+async fn configure(world: &Simulation, seed: u64) -> Result<(), Error> {
     let profile = serde_json::json!({ "class": "latency_critical", "answer_ms": 250 });
     let service = serde_json::json!({
         "profile": "quick", "pool": "limits", "non_repeatable": ["POST /decisions"],
@@ -151,11 +152,11 @@
 /// One attempt and what its caller heard.
 #[derive(Clone, Debug)]
 struct Attempt {
-    ask: Ask,
-    heard: Heard,
+    ask: CallerRequest,
+    heard: CallOutcome,
 }
 
-async fn send_all(world: &World, seed: u64) -> Vec<Attempt> {
+async fn send_all(world: &Simulation, seed: u64) -> Vec<Attempt> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ LOAD_SALT);
     let caller = Caller::default();
     let plans: Vec<Plan> = (0..REQUESTS).map(|nth| Plan::draw(&mut rng, nth)).collect();
@@ -185,14 +186,14 @@
         }
     }
 
-    fn ask(&self, attempt: u32) -> Ask {
+    fn ask(&self, attempt: u32) -> CallerRequest {
         let name = format!("{}{}", if self.is_decision { "d" } else { "r" }, self.nth);
         let path = match (self.is_decision, self.extra_bytes) {
             (true, _) => "/decisions".to_owned(),
             (false, 0) => "/limits".to_owned(),
             (false, bytes) => format!("/bytes/{bytes}"),
         };
-        Ask {
+        CallerRequest {
             id: format!("{name}#{attempt}"),
             service: "limits".to_owned(),
             caller: format!("broker-{}", self.nth % 7),
@@ -202,12 +203,12 @@
             deadline_ms: DEADLINE_MS,
             body: if self.is_decision { format!("buyer={}", self.nth) } else { String::new() },
             attempt: if self.is_decision { attempt } else { 0 },
-            once: if self.is_decision { name } else { String::new() },
+            idempotency_key: if self.is_decision { name } else { String::new() },
         }
     }
 }
 
-async fn send_one(world: &World, caller: &Caller, plan: &Plan) -> Vec<Attempt> {
+async fn send_one(world: &Simulation, caller: &Caller, plan: &Plan) -> Vec<Attempt> {
     tokio::time::sleep(Duration::from_millis(plan.at_ms)).await;
     let mut attempts = Vec::new();
     let mut attempt = 1;
@@ -224,8 +225,9 @@
         attempts.extend([one, other]);
         attempt = 3;
     }
-    let is_answered =
-        |attempts: &[Attempt]| attempts.iter().any(|one| matches!(one.heard, Heard::Answer(..)));
+    let is_answered = |attempts: &[Attempt]| {
+        attempts.iter().any(|one| matches!(one.heard, CallOutcome::Answer(..)))
+    };
     while attempt <= MOST_ATTEMPTS && !is_answered(&attempts) {
         attempts.push(send(attempt).await);
         attempt += 1;
@@ -235,7 +237,7 @@
 }
 
 /// Waits until every daemon answers a read; returns those that never do.
-async fn recover(world: &World) -> Vec<String> {
+async fn recover(world: &Simulation) -> Vec<String> {
     let caller = Caller::default();
     let mut silent = Vec::new();
     for daemon in &world.daemons {
@@ -243,15 +245,15 @@
         let answered = async {
             loop {
                 nth += 1;
-                let ask = Ask {
+                let ask = CallerRequest {
                     id: format!("probe-{}-{nth}", daemon.name),
                     service: "limits".to_owned(),
                     method: "GET".to_owned(),
                     path: "/limits".to_owned(),
                     deadline_ms: LAST_DEADLINE_MS,
-                    ..Ask::default()
+                    ..CallerRequest::default()
                 };
-                if matches!(caller.send(daemon.entry_addr, &ask).await, Heard::Answer(..)) {
+                if matches!(caller.send(daemon.entry_addr, &ask).await, CallOutcome::Answer(..)) {
                     return;
                 }
                 tokio::time::sleep(TRY_PAUSE).await;
@@ -265,19 +267,19 @@
 }
 
 /// Sends every decision once more after all faults: whatever became of it, it must not run twice.
-async fn send_last(world: &World, heard: &[Attempt]) -> Vec<Attempt> {
+async fn send_last(world: &Simulation, heard: &[Attempt]) -> Vec<Attempt> {
     let caller = Caller::default();
-    let mut last: BTreeMap<&str, &Ask> = BTreeMap::new();
+    let mut last: BTreeMap<&str, &CallerRequest> = BTreeMap::new();
     for one in heard.iter().filter(|one| one.ask.attempt > 0) {
-        let newest = last.entry(&one.ask.once).or_insert(&one.ask);
+        let newest = last.entry(&one.ask.idempotency_key).or_insert(&one.ask);
         if one.ask.attempt > newest.attempt {
             *newest = &one.ask;
         }
     }
     let sent = last.into_values().enumerate().map(|(nth, newest)| {
         let attempt = newest.attempt + 1;
-        let id = format!("{}#{attempt}", newest.once);
-        let ask = Ask { id, attempt, deadline_ms: LAST_DEADLINE_MS, ..newest.clone() };
+        let id = format!("{}#{attempt}", newest.idempotency_key);
+        let ask = CallerRequest { id, attempt, deadline_ms: LAST_DEADLINE_MS, ..newest.clone() };
         let entry = world.daemons[nth % DAEMONS].entry_addr;
         let caller = &caller;
         async move {
@@ -288,9 +290,9 @@
     join_all(sent).await
 }
 
-fn judge(world: &World, heard: &[Attempt], silent: Vec<String>) -> RunReport {
+fn judge(world: &Simulation, heard: &[Attempt], silent: Vec<String>) -> RunReport {
     let mut ran: BTreeMap<String, u32> = BTreeMap::new();
-    for (id, times) in world.upstreams.iter().flat_map(|one| one.books().ran) {
+    for (id, times) in world.upstreams.iter().flat_map(|one| one.audit().ran) {
         *ran.entry(id).or_default() += times;
     }
     let mut violations = world.panics();
@@ -299,12 +301,12 @@
     for one in heard {
         let times = ran.get(&one.ask.id).copied().unwrap_or(0);
         if one.ask.attempt > 0 {
-            *runs.entry(&one.ask.once).or_default() += times;
+            *runs.entry(&one.ask.idempotency_key).or_default() += times;
         }
         if one.heard.says_not_run() && times > 0 {
             violations.push(format!("{} ran and was called not run", one.ask.id));
         }
-        if let Heard::Wrong(status, body) = &one.heard {
+        if let CallOutcome::Wrong(status, body) = &one.heard {
             let body = String::from_utf8_lossy(&body[..body.len().min(60)]);
             violations.push(format!("{} heard a wrong answer: {status} {body}", one.ask.id));
         }
@@ -321,18 +323,18 @@
 
 /// All whole answers to one decision are the same.
 fn judge_replays(heard: &[Attempt], violations: &mut Vec<String>) {
-    let mut answers: BTreeMap<&str, &Heard> = BTreeMap::new();
+    let mut answers: BTreeMap<&str, &CallOutcome> = BTreeMap::new();
     for one in heard.iter().filter(|one| one.ask.attempt > 0) {
-        if let Heard::Answer(..) = &one.heard
-            && *answers.entry(&one.ask.once).or_insert(&one.heard) != &one.heard
+        if let CallOutcome::Answer(..) = &one.heard
+            && *answers.entry(&one.ask.idempotency_key).or_insert(&one.heard) != &one.heard
         {
-            violations.push(format!("{} got two different answers", one.ask.once));
+            violations.push(format!("{} got two different answers", one.ask.idempotency_key));
         }
     }
 }
 
 /// What callers heard and the daemons logged of the requests that the violations name.
-fn story(world: &World, heard: &[Attempt], violations: &[String]) -> Vec<String> {
+fn story(world: &Simulation, heard: &[Attempt], violations: &[String]) -> Vec<String> {
     let names: Vec<&str> =
         violations.iter().filter_map(|one| one.split([' ', '#']).next()).collect();
     let words: Vec<String> = names.iter().map(|name| format!("\"{name}#")).collect();
@@ -343,13 +345,16 @@
 
 fn figures(heard: &[Attempt], runs: &BTreeMap<&str, u32>) -> Vec<(&'static str, f64)> {
     let count =
-        |what: fn(&Heard) -> bool| heard.iter().filter(|one| what(&one.heard)).count() as f64;
+        |what: fn(&CallOutcome) -> bool| heard.iter().filter(|one| what(&one.heard)).count() as f64;
     vec![
         ("attempts", heard.len() as f64),
-        ("answered", count(|heard| matches!(heard, Heard::Answer(..)))),
-        ("not_run", count(Heard::says_not_run)),
-        ("unknown", count(|heard| matches!(heard, Heard::Failed(_)) && !heard.says_not_run())),
-        ("broken", count(|heard| matches!(heard, Heard::Broken))),
+        ("answered", count(|heard| matches!(heard, CallOutcome::Answer(..)))),
+        ("not_run", count(CallOutcome::says_not_run)),
+        (
+            "unknown",
+            count(|heard| matches!(heard, CallOutcome::Failed(_)) && !heard.says_not_run()),
+        ),
+        ("broken", count(|heard| matches!(heard, CallOutcome::Broken))),
         ("decisions", runs.len() as f64),
         ("decisions_run", runs.values().filter(|times| **times > 0).count() as f64),
     ]
--- a/crates/agatesill_standin/src/faults/world.rs
+++ b/crates/agatesill_standin/src/faults/simulation.rs
@@ -36,7 +36,7 @@
 
 /// What a world is built from.
 #[derive(Clone, Debug)]
-pub struct WorldOptions {
+pub struct SimulationOptions {
     /// The `agatesilld` program.
     pub binary: PathBuf,
     /// Settings of every daemon; instance, addresses and members are filled in.
@@ -47,7 +47,7 @@
 
 /// Daemons and stand-ins of one run.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     /// The store.
     pub store: StoreStandin,
     /// All workers.
@@ -63,9 +63,9 @@
     stop: CancellationToken,
 }
 
-impl World {
+impl Simulation {
     /// Starts the stand-ins and the daemons and waits until every daemon answers.
-    pub async fn start(options: &WorldOptions) -> Result<Self, Error> {
+    pub async fn start(options: &SimulationOptions) -> Result<Self, Error> {
         let number = WORLDS.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("agatesill-faults-{}-{number}", std::process::id()));
@@ -107,7 +107,7 @@
 
     async fn prepare(
         &self,
-        options: &WorldOptions,
+        options: &SimulationOptions,
         peers: &BTreeMap<String, SocketAddr>,
         nth: usize,
     ) -> Result<DaemonProcess, Error> {
@@ -288,7 +288,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Simulation {
     fn drop(&mut self) {
         self.stop.cancel();
         self.daemons.iter().for_each(DaemonProcess::kill);
@@ -318,7 +318,7 @@
 }
 
 /// The program `agatesilld` beside the running one, where a build puts both.
-pub fn daemon_beside_this_program() -> Option<PathBuf> {
+pub fn sibling_daemon_binary() -> Option<PathBuf> {
     let this = std::env::current_exe().ok()?;
     let folder: &Path = this.parent()?;
     Some(folder.join("agatesilld")).filter(|path| path.is_file())
--- a/crates/agatesill_standin/src/rig.rs
+++ b/crates/agatesill_standin/src/harness.rs
@@ -24,7 +24,7 @@
 pub const SERVICE: &str = "limits";
 
 /// Path whose requests are non-repeatable, with any method.
-pub const ONCE_PATH: &str = "/decisions";
+pub const NON_REPEATABLE_PATH: &str = "/decisions";
 
 /// Longest wait for a daemon to become ready.
 const READY_LIMIT: Duration = Duration::from_secs(30);
@@ -34,7 +34,7 @@
 
 /// Sizes of a rig.
 #[derive(Clone, Copy, Debug)]
-pub struct RigSizes {
+pub struct HarnessSizes {
     /// Daemons.
     pub daemons: usize,
     /// Upstreams, over three zones.
@@ -47,7 +47,7 @@
 
 /// Store, upstreams and settings.
 #[derive(Debug)]
-pub struct Rig {
+pub struct Harness {
     /// The store.
     pub store: StoreStandin,
     /// The upstreams.
@@ -60,9 +60,9 @@
     pub stop: CancellationToken,
 }
 
-impl Rig {
+impl Harness {
     /// Starts store and upstreams, and makes settings that `adjust` may change.
-    pub async fn start(sizes: RigSizes, adjust: impl Fn(&mut Settings)) -> Result<Self, Error> {
+    pub async fn start(sizes: HarnessSizes, adjust: impl Fn(&mut Settings)) -> Result<Self, Error> {
         let stop = CancellationToken::new();
         let store = StoreStandin::default();
         let store_addr = start_store(&store, loopback(), &stop).await?;
@@ -88,7 +88,7 @@
         let client = JsonClient::default();
         let change = first_change();
         let admin = |settings: &Settings| settings.admin.addr;
-        until(|| {
+        wait_until(|| {
             let (client, change) = (client.clone(), change.clone());
             let addr = admin(&self.settings[0]);
             async move {
@@ -108,7 +108,7 @@
     pub async fn ready(&self, settings: &Settings) -> Result<(), Error> {
         let client = JsonClient::default();
         let addr = settings.admin.addr;
-        until(|| {
+        wait_until(|| {
             let client = client.clone();
             async move {
                 let ready: Result<String, Error> =
@@ -122,21 +122,21 @@
     /// How often each request really ran, over all upstreams.
     pub fn ran(&self) -> BTreeMap<String, u32> {
         let mut ran = BTreeMap::new();
-        for (id, times) in self.upstreams.iter().flat_map(|one| one.books().ran) {
+        for (id, times) in self.upstreams.iter().flat_map(|one| one.audit().ran) {
             *ran.entry(id).or_default() += times;
         }
         ran
     }
 }
 
-impl Drop for Rig {
+impl Drop for Harness {
     fn drop(&mut self) {
         self.stop.cancel();
     }
 }
 
 /// Tries until `done` says so.
-pub async fn until<F: Future<Output = bool>>(done: impl Fn() -> F) -> Result<(), Error> {
+pub async fn wait_until<F: Future<Output = bool>>(done: impl Fn() -> F) -> Result<(), Error> {
     let started = Instant::now();
     while !done().await {
         if started.elapsed() > READY_LIMIT {
@@ -159,7 +159,10 @@
     let service = Service {
         profile: "quick".to_owned(),
         pool: "limits".to_owned(),
-        non_repeatable: vec![format!("POST {ONCE_PATH}"), format!("PUT {ONCE_PATH}")],
+        non_repeatable: vec![
+            format!("POST {NON_REPEATABLE_PATH}"),
+            format!("PUT {NON_REPEATABLE_PATH}"),
+        ],
     };
     ConfigChange {
         operation_id: "rig".to_owned(),
--- a/crates/agatesill_standin/src/lib.rs
+++ b/crates/agatesill_standin/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod demo;
 pub mod faults;
 pub mod gate;
-pub mod rig;
+pub mod harness;
 pub mod store;
 pub mod trace;
 pub mod upstreams;
--- a/crates/agatesill_standin/src/store.rs
+++ b/crates/agatesill_standin/src/store.rs
@@ -41,7 +41,7 @@
 value_type! {
     /// Calls that the service has counted.
     #[derive(Default)]
-    pub struct StoreBooks {
+    pub struct StoreAudit {
         /// Writes, grants, renewals and revocations.
         pub writes: u64,
         /// Reads and watches.
@@ -64,7 +64,7 @@
     leases: BTreeMap<u64, Lease>,
     deleted: BTreeMap<String, u64>,
     faults: StoreFaults,
-    books: StoreBooks,
+    books: StoreAudit,
 }
 
 /// The service; clones share one state.
@@ -90,7 +90,7 @@
                     "/admin/faults" => respond(
                         read_json(request.into_body()).await.map(|faults| store.set_faults(faults)),
                     ),
-                    "/admin/books" => respond(Ok(store.books())),
+                    "/admin/books" => respond(Ok(store.audit())),
                     _ => match read_json(request.into_body()).await {
                         Ok(call) => respond(store.call(call).await),
                         Err(error) => respond::<()>(Err(error)),
@@ -107,7 +107,7 @@
     }
 
     /// Calls counted so far.
-    pub fn books(&self) -> StoreBooks {
+    pub fn audit(&self) -> StoreAudit {
         self.lock().books.clone()
     }
 
--- a/crates/agatesill_standin/src/trace.rs
+++ b/crates/agatesill_standin/src/trace.rs
@@ -6,7 +6,7 @@
 
 use agatesill_wire::prelude::*;
 
-use crate::caller::{Ask, Caller, Heard};
+use crate::caller::{CallOutcome, Caller, CallerRequest};
 
 /// Fields of one row of the file.
 const FIELDS: usize = 8;
@@ -94,7 +94,7 @@
     started: Instant,
 ) -> Reply {
     tokio::time::sleep_until((started + Duration::from_millis(row.at_ms)).into()).await;
-    let ask = Ask {
+    let ask = CallerRequest {
         id: format!("r{deployment}-{index}"),
         service: row.service,
         caller: row.caller,
@@ -104,12 +104,12 @@
         deadline_ms: row.deadline_ms,
         body: row.body,
         attempt: 0,
-        once: String::new(),
+        idempotency_key: String::new(),
     };
     let (heard, took_us) = Caller::default().timed(entry, &ask).await;
     Reply {
-        is_answer: matches!(heard, Heard::Answer(..) | Heard::Wrong(..)),
-        is_wrong: matches!(heard, Heard::Wrong(..)),
+        is_answer: matches!(heard, CallOutcome::Answer(..) | CallOutcome::Wrong(..)),
+        is_wrong: matches!(heard, CallOutcome::Wrong(..)),
         says_not_run: heard.says_not_run(),
         id: ask.id,
         service: ask.service,
--- a/crates/agatesill_standin/src/upstreams.rs
+++ b/crates/agatesill_standin/src/upstreams.rs
@@ -76,7 +76,7 @@
 value_type! {
     /// What really happened on one upstream.
     #[derive(Default)]
-    pub struct UpstreamBooks {
+    pub struct UpstreamAudit {
         /// Requests that ran, by the identity that the caller gave them.
         pub ran: BTreeMap<String, u32>,
         /// Most requests at once.
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 struct State {
     faults: UpstreamFaults,
-    books: UpstreamBooks,
+    books: UpstreamAudit,
     at_once: u32,
     keeps_books: bool,
 }
@@ -157,12 +157,12 @@
     /// An upstream with this many slots.
     pub fn new(slots: usize, faults: UpstreamFaults) -> Self {
         let state =
-            State { faults, books: UpstreamBooks::default(), at_once: 0, keeps_books: true };
+            State { faults, books: UpstreamAudit::default(), at_once: 0, keeps_books: true };
         Self { state: Arc::new(Mutex::new(state)), slots: Arc::new(Semaphore::new(slots)) }
     }
 
     /// Keeps no list of what ran any more, for long measurements.
-    pub fn keep_no_books(&self) {
+    pub fn disable_request_audit(&self) {
         self.lock().keeps_books = false;
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// What really happened so far.
-    pub fn books(&self) -> UpstreamBooks {
+    pub fn audit(&self) -> UpstreamAudit {
         self.lock().books.clone()
     }
 
@@ -222,7 +222,7 @@
                 let faults = read_json(request.into_body()).await;
                 Ok(json(&faults.map(|faults| self.set_faults(faults))))
             }
-            "/admin/books" => Ok(json(&Ok(self.books()))),
+            "/admin/books" => Ok(json(&Ok(self.audit()))),
             _ => self.answer(request).await,
         }
     }
--- a/crates/agatesill_standin/src/workers/books.rs
+++ b/crates/agatesill_standin/src/workers/books.rs
@@ -31,7 +31,7 @@
 value_type! {
     /// What really happened on the workers.
     #[derive(Default)]
-    pub struct WorkerBooks {
+    pub struct WorkerAudit {
         /// Starts of attempts.
         pub starts: u64,
         /// Tasks that finished their work, with how often they did.
@@ -63,7 +63,7 @@
     }
 }
 
-impl WorkerBooks {
+impl WorkerAudit {
     /// Tasks that were stopped with a checkpoint and did not go on, or of which one attempt
     /// started twice. `over` says which tasks may stay stopped because they were cancelled.
     pub fn wrong_resumes(&self, over: impl Fn(&str) -> bool) -> Vec<String> {
--- a/crates/agatesill_standin/src/workers/floor.rs
+++ b/crates/agatesill_standin/src/workers/floor.rs
@@ -8,7 +8,7 @@
 use agatesill_wire::platform::{AttemptReport, AttemptState, WorkerCall, WorkerReply};
 use agatesill_wire::prelude::*;
 
-use super::books::{AttemptBook, WorkerBooks};
+use super::books::{AttemptBook, WorkerAudit};
 use super::{WorkerFaults, interference};
 
 /// Attempt numbers from here on belong to runs doubled on purpose.
@@ -73,7 +73,7 @@
     workers: BTreeMap<WorkerId, Worker>,
     places: BTreeMap<TaskId, u32>,
     known_done: BTreeSet<TaskId>,
-    pub(super) books: WorkerBooks,
+    pub(super) books: WorkerAudit,
 }
 
 impl Floor {
@@ -84,7 +84,7 @@
             workers: specs.iter().map(|spec| (spec.id, worker(spec))).collect(),
             places: BTreeMap::new(),
             known_done: BTreeSet::new(),
-            books: WorkerBooks::default(),
+            books: WorkerAudit::default(),
         }
     }
 
--- a/crates/agatesill_standin/src/workers/mod.rs
+++ b/crates/agatesill_standin/src/workers/mod.rs
@@ -23,7 +23,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::gate::Gate;
-pub use books::{AttemptBook, WorkerBooks};
+pub use books::{AttemptBook, WorkerAudit};
 use floor::Floor;
 
 /// How long a worker that cannot be reached, or whose answer is lost, keeps a caller waiting.
@@ -94,7 +94,7 @@
             return respond(faults.map(|faults| self.set_faults(worker, faults)));
         }
         if path == "/admin/books" {
-            return respond(Ok(self.books()));
+            return respond(Ok(self.audit()));
         }
         let call = match read_json(request.into_body()).await {
             Ok(call) => call,
@@ -143,7 +143,7 @@
     }
 
     /// What really happened so far.
-    pub fn books(&self) -> WorkerBooks {
+    pub fn audit(&self) -> WorkerAudit {
         let mut floor = self.lock();
         floor.advance();
         floor.books.clone()
--- a/crates/agatesill_standin/tests/workers.rs
+++ b/crates/agatesill_standin/tests/workers.rs
@@ -38,8 +38,8 @@
     for _ in 0..3 {
         floor.call(1, start(1, 1, 60_000, 60_000)).await.unwrap();
     }
-    assert_eq!(floor.books().starts, 1);
-    assert_eq!(floor.books().double_runs, 0);
+    assert_eq!(floor.audit().starts, 1);
+    assert_eq!(floor.audit().double_runs, 0);
 }
 
 /// An owner gives an attempt up before its start arrives: the stop comes first, the delayed start
@@ -50,7 +50,7 @@
     floor.call(1, stop(1, 1)).await.unwrap();
     let reply = floor.call(1, start(1, 1, 60_000, 60_000)).await.unwrap();
     assert_eq!(reply.attempts[0].state, AttemptState::Stopped);
-    assert_eq!((floor.books().starts, floor.books().refused_starts), (0, 1));
+    assert_eq!((floor.audit().starts, floor.audit().refused_starts), (0, 1));
 }
 
 /// An owner is paused, a successor calls the worker, and the old owner wakes with a start half
@@ -61,8 +61,8 @@
     floor.call(1, stop(9, 2)).await.unwrap();
     let refused = floor.call(1, start(1, 1, 60_000, 60_000)).await.unwrap_err();
     assert_eq!(refused.kind, ErrorKind::Conflict);
-    assert_eq!((floor.books().starts, floor.books().fenced_calls), (0, 1));
-    assert_eq!(floor.books().epochs[&1], [2]);
+    assert_eq!((floor.audit().starts, floor.audit().fenced_calls), (0, 1));
+    assert_eq!(floor.audit().epochs[&1], [2]);
 }
 
 /// Nobody calls a worker for long. Its attempt's lease ended before the work could be done, so it
@@ -72,7 +72,7 @@
     let floor = floor();
     floor.call(1, start(1, 1, 200, 20)).await.unwrap();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let books = floor.books();
+    let books = floor.audit();
     assert!(books.finished.is_empty());
     assert_eq!(books.lapsed, 1);
 }
@@ -82,9 +82,9 @@
     let floor = floor();
     floor.call(1, start(1, 1, 60_000, 60_000)).await.unwrap();
     floor.call(2, start(2, 1, 60_000, 60_000)).await.unwrap();
-    assert_eq!(floor.books().double_runs, 1);
+    assert_eq!(floor.audit().double_runs, 1);
     floor.call(1, start(3, 1, 60_000, 60_000)).await.unwrap();
-    assert_eq!(floor.books().overcommitted, 1);
+    assert_eq!(floor.audit().overcommitted, 1);
 }
 
 /// A settled end is reported no more, yet the attempt still cannot be started again; a later
@@ -98,9 +98,9 @@
     let reply = floor.call(1, renew).await.unwrap();
     assert!(reply.attempts.is_empty());
     floor.call(1, start(1, 1, 0, 60_000)).await.unwrap();
-    assert_eq!(floor.books().starts, 1);
+    assert_eq!(floor.audit().starts, 1);
     floor.call(2, start(2, 1, 0, 60_000)).await.unwrap();
-    assert_eq!(floor.books().starts_after_success, 1);
+    assert_eq!(floor.audit().starts_after_success, 1);
 }
 
 #[tokio::test]
@@ -114,5 +114,5 @@
     tokio::time::sleep(Duration::from_millis(30)).await;
     let reply = floor.call(2, stop(2, 1)).await.unwrap();
     assert!(reply.attempts[0].checkpoint_ms > 0);
-    assert_eq!(floor.books().wrong_resumes(|_| false).len(), 1, "not resumed yet");
+    assert_eq!(floor.audit().wrong_resumes(|_| false).len(), 1, "not resumed yet");
 }
--- a/crates/agatesilld/tests/cells.rs
+++ b/crates/agatesilld/tests/cells.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use agatesill_policy::prelude::*;
-use agatesill_standin::faults::{Fault, FaultKind, World, WorldOptions, batch};
+use agatesill_standin::faults::{Fault, FaultKind, Simulation, SimulationOptions, batch};
 use agatesill_wire::api::{JobExplanation, JobStatus, VersionedConfig};
 use agatesill_wire::http::JsonClient;
 use agatesill_wire::prelude::*;
@@ -17,7 +17,7 @@
 const LIMIT: Duration = Duration::from_secs(60);
 
 struct Floor {
-    world: World,
+    world: Simulation,
     client: JsonClient,
 }
 
@@ -28,9 +28,11 @@
 
     async fn start_with(daemons: usize, base: Settings) -> Self {
         let binary = PathBuf::from(env!("CARGO_BIN_EXE_agatesilld"));
-        let options = WorldOptions { binary, base, daemons };
-        let floor =
-            Self { world: World::start(&options).await.unwrap(), client: JsonClient::default() };
+        let options = SimulationOptions { binary, base, daemons };
+        let floor = Self {
+            world: Simulation::start(&options).await.unwrap(),
+            client: JsonClient::default(),
+        };
         let change = batch::config_change(1);
         let made: VersionedConfig = floor.ask_until(Method::POST, 0, "/v1/config", &change).await;
         for nth in 0..daemons {
@@ -118,7 +120,7 @@
         let ended = floor.await_outcome(0, &format!("night-{nth}")).await;
         assert_eq!(ended.outcome, "done");
     }
-    let books = floor.world.workers.books();
+    let books = floor.world.workers.audit();
     assert_eq!((books.double_runs, books.starts_after_success), (0, 0));
 }
 
@@ -137,7 +139,7 @@
         floor.ask(Method::POST, 1, "/v1/jobs", &job("bills", 4, 100)).await;
     assert_eq!(other.unwrap_err().kind, ErrorKind::Conflict);
     floor.await_outcome(2, "bills").await;
-    assert_eq!(floor.world.workers.books().starts, 3);
+    assert_eq!(floor.world.workers.audit().starts, 3);
     let all: Vec<JobStatus> = floor.ask_until(Method::GET, 2, "/v1/jobs", &()).await;
     assert_eq!(all.len(), 1);
     let why: JobExplanation = floor.ask_until(Method::GET, 1, "/v1/explain/job/bills", &()).await;
@@ -195,7 +197,7 @@
     base.cells.values_mut().for_each(|cell| cell.outage_renew_ms = 600_000);
     let floor = Floor::start_with(1, base).await;
     floor.submit(0, &job("long", 2, 6_000)).await;
-    while floor.world.workers.books().starts < 2 {
+    while floor.world.workers.audit().starts < 2 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let outage = Fault { kind: FaultKind::StoreOutage, target: 0 };
@@ -215,10 +217,10 @@
     };
     assert!(refused.retry_after_ms > 0);
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    assert_eq!(floor.world.workers.books().lapsed, 0, "a running task lost its lease");
+    assert_eq!(floor.world.workers.audit().lapsed, 0, "a running task lost its lease");
     floor.world.end(outage).await;
     assert_eq!(floor.await_outcome(0, "long").await.outcome, "done");
-    let books = floor.world.workers.books();
+    let books = floor.world.workers.audit();
     assert_eq!(books.lapsed, 0);
     assert!((0..2).all(|nth| books.attempts[&format!("long/{nth}")].len() == 1));
 }
@@ -257,7 +259,7 @@
         }
         assert!(started.elapsed() < LIMIT);
     };
-    while floor.world.workers.books().starts == 0 {
+    while floor.world.workers.audit().starts == 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let mut faults = floor.world.workers.faults(worker);
@@ -269,7 +271,7 @@
     }
     floor.world.workers.set_faults(worker, Default::default());
     assert_eq!(floor.await_outcome(0, "moved").await.outcome, "done");
-    let books = floor.world.workers.books();
+    let books = floor.world.workers.audit();
     assert_eq!((books.double_runs, books.lapsed, books.finished["moved/0"]), (0, 1, 1));
 }
 
@@ -284,12 +286,12 @@
     assert_eq!(cancelled.outcome, "cancelled");
     floor.submit(0, &job("next", 48, 200)).await;
     floor.await_outcome(1, "wave").await;
-    let wave_starts = |books: &agatesill_standin::workers::WorkerBooks| {
+    let wave_starts = |books: &agatesill_standin::workers::WorkerAudit| {
         books.attempts.keys().filter(|task| task.starts_with("wave/")).count()
     };
-    let starts = wave_starts(&floor.world.workers.books());
+    let starts = wave_starts(&floor.world.workers.audit());
     floor.await_outcome(0, "next").await;
-    let books = floor.world.workers.books();
+    let books = floor.world.workers.audit();
     assert_eq!(wave_starts(&books), starts);
     assert_eq!((books.overcommitted, books.double_runs), (0, 0));
 }
@@ -309,7 +311,7 @@
     floor.submit(0, &JobSpec { class: "harmful".to_owned(), ..job("bad", 1, 500) }).await;
     assert_eq!(floor.await_outcome(0, "bad").await.outcome, "failed");
     assert_eq!(floor.await_outcome(0, "good").await.outcome, "done");
-    let books = floor.world.workers.books();
+    let books = floor.world.workers.audit();
     let starts = books.attempts["bad/0"].len();
     assert!((3..=5).contains(&starts), "{starts} starts");
     assert_eq!((books.double_runs, books.overcommitted), (0, 0));
--- a/crates/agatesilld/tests/relay.rs
+++ b/crates/agatesilld/tests/relay.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use agatesill_standin::caller::{Ask, Caller, Heard};
-use agatesill_standin::rig::{ONCE_PATH, Rig, RigSizes, SERVICE, until};
+use agatesill_standin::caller::{CallOutcome, Caller, CallerRequest};
+use agatesill_standin::harness::{Harness, HarnessSizes, NON_REPEATABLE_PATH, SERVICE, wait_until};
 use agatesill_standin::store::StoreFaults;
 use agatesill_standin::upstreams::UpstreamFaults;
 use agatesilld::prelude::*;
@@ -13,22 +13,22 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-const SIZES: RigSizes = RigSizes { daemons: 2, upstreams: 3, slots: 4, service_us: 1_000 };
+const SIZES: HarnessSizes = HarnessSizes { daemons: 2, upstreams: 3, slots: 4, service_us: 1_000 };
 
 type Outcome = Result<(), Box<dyn std::error::Error>>;
 
 struct World {
-    rig: Rig,
+    rig: Harness,
     caller: Caller,
     stops: Vec<CancellationToken>,
 }
 
 impl World {
     async fn start(
-        sizes: RigSizes,
+        sizes: HarnessSizes,
         adjust: impl Fn(&mut Settings),
     ) -> Result<Self, Box<dyn std::error::Error>> {
-        let rig = Rig::start(sizes, adjust).await?;
+        let rig = Harness::start(sizes, adjust).await?;
         let mut stops = Vec::new();
         for settings in &rig.settings {
             let stop = CancellationToken::new();
@@ -43,7 +43,7 @@
         self.rig.settings[daemon].entry.addr
     }
 
-    async fn send(&self, daemon: usize, ask: &Ask) -> Heard {
+    async fn send(&self, daemon: usize, ask: &CallerRequest) -> CallOutcome {
         self.caller.send(self.entry(daemon), ask).await
     }
 
@@ -62,8 +62,8 @@
     }
 }
 
-fn read(id: &str) -> Ask {
-    Ask {
+fn read(id: &str) -> CallerRequest {
+    CallerRequest {
         id: id.to_owned(),
         service: SERVICE.to_owned(),
         caller: "broker".to_owned(),
@@ -73,26 +73,26 @@
         deadline_ms: 5_000,
         body: String::new(),
         attempt: 0,
-        once: String::new(),
+        idempotency_key: String::new(),
     }
 }
 
-fn decide(id: &str, attempt: u32) -> Ask {
-    Ask {
+fn decide(id: &str, attempt: u32) -> CallerRequest {
+    CallerRequest {
         method: "POST".to_owned(),
-        path: ONCE_PATH.to_owned(),
+        path: NON_REPEATABLE_PATH.to_owned(),
         body: "buyer=7".to_owned(),
         attempt,
         ..read(id)
     }
 }
 
-fn kind(heard: &Heard) -> &str {
+fn kind(heard: &CallOutcome) -> &str {
     match heard {
-        Heard::Failed(body) => &body.kind,
-        Heard::Answer(..) => "answer",
-        Heard::Broken => "broken",
-        Heard::Wrong(..) => "wrong",
+        CallOutcome::Failed(body) => &body.kind,
+        CallOutcome::Answer(..) => "answer",
+        CallOutcome::Broken => "broken",
+        CallOutcome::Wrong(..) => "wrong",
     }
 }
 
@@ -173,7 +173,7 @@
 async fn a_key_used_for_another_request_is_a_conflict() -> Outcome {
     let world = World::start(SIZES, |_| {}).await?;
     assert_eq!(kind(&world.send(0, &decide("d1", 1)).await), "answer");
-    let other = Ask { body: "buyer=8".to_owned(), ..decide("d1", 2) };
+    let other = CallerRequest { body: "buyer=8".to_owned(), ..decide("d1", 2) };
     assert_eq!(kind(&world.send(1, &other).await), "conflict");
     Ok(())
 }
@@ -185,7 +185,7 @@
     let world = World::start(SIZES, |_| {}).await?;
     world.set_faults(&UpstreamFaults { die_mid_answer_percent: 100, ..UpstreamFaults::default() });
     for (nth, path) in ["/limits", "/bytes/1000", "/bytes/300000"].iter().enumerate() {
-        let ask = Ask { path: (*path).to_owned(), ..read(&format!("r{nth}")) };
+        let ask = CallerRequest { path: (*path).to_owned(), ..read(&format!("r{nth}")) };
         let heard = world.send(0, &ask).await;
         assert!(matches!(kind(&heard), "broken" | "upstream_failed"), "{path}: {heard:?}");
     }
@@ -201,7 +201,8 @@
     for nth in 0..5 {
         let body = "b".repeat(200_000);
         let path = "/bytes/1000000".to_owned();
-        let ask = Ask { method: "PUT".to_owned(), path, body, ..read(&format!("r{nth}")) };
+        let ask =
+            CallerRequest { method: "PUT".to_owned(), path, body, ..read(&format!("r{nth}")) };
         assert_eq!(kind(&world.send(0, &ask).await), "answer");
     }
     Ok(())
@@ -224,8 +225,8 @@
         let heard = world.send(0, &read(&format!("r{nth}"))).await;
         assert_eq!(kind(&heard), "answer", "{heard:?}");
     }
-    until(|| async {
-        world.rig.upstreams.iter().map(|one| one.books().cancelled).sum::<u64>() > 0
+    wait_until(|| async {
+        world.rig.upstreams.iter().map(|one| one.audit().cancelled).sum::<u64>() > 0
     })
     .await?;
     Ok(())
@@ -243,12 +244,12 @@
         assert_eq!(kind(&heard), "answer", "{heard:?}");
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let refused = world.rig.upstreams[0].books().refused;
+    let refused = world.rig.upstreams[0].audit().refused;
     assert!(refused >= 1);
     for nth in 0..40 {
         world.send(nth % 2, &read(&format!("s{nth}"))).await;
     }
-    assert_eq!(world.rig.upstreams[0].books().refused, refused);
+    assert_eq!(world.rig.upstreams[0].audit().refused, refused);
     Ok(())
 }
 
@@ -263,12 +264,12 @@
             tokio::spawn(async move { caller.send(entry, &read(&format!("r{nth}"))).await })
         })
         .collect();
-    until(|| async { world.rig.ran().len() == sent.len() }).await?;
+    wait_until(|| async { world.rig.ran().len() == sent.len() }).await?;
     world.stops[0].cancel();
     for one in sent {
         assert_eq!(kind(&one.await?), "answer");
     }
-    until(|| async { TcpStream::connect(world.entry(0)).await.is_err() }).await?;
+    wait_until(|| async { TcpStream::connect(world.entry(0)).await.is_err() }).await?;
     Ok(())
 }
 
@@ -276,7 +277,7 @@
 /// the budget that all daemons share.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn connections_stay_within_the_shared_budget() -> Outcome {
-    let sizes = RigSizes { upstreams: 1, slots: 64, ..SIZES };
+    let sizes = HarnessSizes { upstreams: 1, slots: 64, ..SIZES };
     let world = World::start(sizes, |settings| settings.upstreams.connections = 6).await?;
     let sent: Vec<_> = (0..200)
         .map(|nth| {
@@ -287,7 +288,7 @@
     for one in sent {
         assert_eq!(kind(&one.await?), "answer");
     }
-    assert!(world.rig.upstreams[0].books().most_connections <= 6);
+    assert!(world.rig.upstreams[0].audit().most_connections <= 6);
     Ok(())
 }
 
@@ -361,7 +362,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let refused = raw(world.entry(0), b"").await?;
     assert!(refused.contains("overloaded"), "{refused}");
-    until(|| async { kind(&world.send(0, &read("r1")).await) == "answer" }).await?;
+    wait_until(|| async { kind(&world.send(0, &read("r1")).await) == "answer" }).await?;
     Ok(())
 }
 
@@ -369,7 +370,7 @@
 /// closed and the upstream's slot is free again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_caller_that_does_not_read_is_cut_off() -> Outcome {
-    let sizes = RigSizes { upstreams: 1, slots: 1, ..SIZES };
+    let sizes = HarnessSizes { upstreams: 1, slots: 1, ..SIZES };
     let world = World::start(sizes, |settings| settings.entry.stall_ms = 300).await?;
     let mut stream = TcpStream::connect(world.entry(0)).await?;
     let head = format!(
@@ -377,7 +378,7 @@
          x-agatesill-deadline-ms: 60000\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await?;
-    until(|| async { world.rig.upstreams[0].books().most_at_once > 0 }).await?;
-    until(|| async { kind(&world.send(0, &read("r1")).await) == "answer" }).await?;
+    wait_until(|| async { world.rig.upstreams[0].audit().most_at_once > 0 }).await?;
+    wait_until(|| async { kind(&world.send(0, &read("r1")).await) == "answer" }).await?;
     Ok(())
 }
--- a/crates/agatesilld/tests/status.rs
+++ b/crates/agatesilld/tests/status.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use agatesill_standin::rig::{Rig, RigSizes, SERVICE, until};
+use agatesill_standin::harness::{Harness, HarnessSizes, SERVICE, wait_until};
 use agatesill_standin::store::StoreFaults;
 use agatesill_wire::http::JsonClient;
 use agatesill_wire::prelude::*;
@@ -10,7 +10,7 @@
 use hyper::Method;
 use tokio_util::sync::CancellationToken;
 
-const SIZES: RigSizes = RigSizes { daemons: 2, upstreams: 3, slots: 4, service_us: 1_000 };
+const SIZES: HarnessSizes = HarnessSizes { daemons: 2, upstreams: 3, slots: 4, service_us: 1_000 };
 
 /// Generous: no verdict depends on how fast the machine is.
 const CALL_LIMIT: Duration = Duration::from_secs(20);
@@ -27,7 +27,7 @@
 /// Then the store goes down: the status has to say so in words, and clear it afterwards.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn status_answers_again_and_again_and_names_an_outage() -> Outcome {
-    let rig = Rig::start(SIZES, |_| {}).await?;
+    let rig = Harness::start(SIZES, |_| {}).await?;
     let stop = CancellationToken::new();
     for settings in &rig.settings {
         start(settings, &stop)?;
@@ -39,9 +39,9 @@
         report.is_ok_and(|one| one.degraded.iter().any(|line| line.contains("the store has not")))
     };
     rig.store.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
-    until(|| async { says_outage(status(&rig.settings[0]).await) }).await?;
+    wait_until(|| async { says_outage(status(&rig.settings[0]).await) }).await?;
     rig.store.set_faults(StoreFaults::default());
-    until(|| async { !says_outage(status(&rig.settings[0]).await) }).await?;
+    wait_until(|| async { !says_outage(status(&rig.settings[0]).await) }).await?;
     stop.cancel();
     Ok(())
 }
@@ -49,7 +49,7 @@
 /// An operator asks about a request that never came here, and about a profile.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn explain_says_what_it_cannot_know() -> Outcome {
-    let rig = Rig::start(SIZES, |_| {}).await?;
+    let rig = Harness::start(SIZES, |_| {}).await?;
     let stop = CancellationToken::new();
     for settings in &rig.settings {
         start(settings, &stop)?;
@@ -75,7 +75,7 @@
 /// service does not exist, which would send it away for good, but when to come back.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_daemon_without_configuration_tells_callers_to_come_back() -> Outcome {
-    let rig = Rig::start(RigSizes { daemons: 1, ..SIZES }, |_| {}).await?;
+    let rig = Harness::start(HarnessSizes { daemons: 1, ..SIZES }, |_| {}).await?;
     rig.store.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
     let stop = CancellationToken::new();
     start(&rig.settings[0], &stop)?;
