--- a/crates/agatesilld/src/fleet/lines.rs
+++ b/crates/agatesilld/src/fleet/lines.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, Ordering};
 use std::time::Duration;
 
-use agatesill_platform::workers::{LONGEST_WAIT_MS, PollOutcome, WorkerChannel};
+use agatesill_platform::workers::{MAX_POLL_WAIT_MS, PollOutcome, WorkerChannel};
 use agatesill_policy::fleet::{
     Fleet, Order, OrderKind, OrderOutcome, US_PER_MS, Worker, WorkerIndex, WorkerStanding,
 };
@@ -40,7 +40,7 @@
 const ACK_LIMIT: Duration = Duration::from_millis(150);
 
 /// The same for a worker on which nothing runs: its next end is none, and its tails are of no interest.
-const IDLE_WAIT_MS: u64 = LONGEST_WAIT_MS;
+const IDLE_WAIT_MS: u64 = MAX_POLL_WAIT_MS;
 
 /// Pause between two polls of such a worker, unless it gets an order: that it is gone shows in the registry,
 /// and it holds no lease that would have to be renewed.
@@ -268,7 +268,7 @@
             let polled =
                 channel.poll(self.epoch, lease.unwrap_or(0), acked_end, wait_ms, limit).await;
             let (event, pause) = match polled {
-                Ok(PollOutcome::Seen(mut poll)) => {
+                Ok(PollOutcome::Reply(mut poll)) => {
                     let now_ms = (self.site.clock.now_us() / US_PER_MS) as i64;
                     line.clock_offset_ms.store(poll.clock_ms as i64 - now_ms, Ordering::Release);
                     line.is_answering.store(true, Ordering::Release);
--- a/crates/agatesilld/src/fleet/mod.rs
+++ b/crates/agatesilld/src/fleet/mod.rs
@@ -124,7 +124,7 @@
     tokio::time::sleep(LEAVING).await;
     stop_entry.cancel();
     tasks.close();
-    let limit = Duration::from_millis(site.settings.stop_limit_ms).saturating_sub(LEAVING) / 2;
+    let limit = Duration::from_millis(site.settings.stop_timeout_ms).saturating_sub(LEAVING) / 2;
     if tokio::time::timeout(LAST_REQUESTS.min(limit), tasks.wait()).await.is_err() {
         log::warn!(event = "stop_cut_short", tasks = tasks.len(); "");
     }
--- a/crates/agatesilld/src/fleet/planner.rs
+++ b/crates/agatesilld/src/fleet/planner.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use agatesill_platform::advice::Advised;
+use agatesill_platform::advice::AdviceReply;
 use agatesill_policy::fleet::{
     AdviceQuestion, ClosedZone, Fleet, FleetUsage, JobPhase, JobSpec, JobWrite, LongestTransition,
     LongestWait, ORPHAN_MS, Order, OrderOutcome, Poll, QueueTerms, Worker, WorkerEntry,
@@ -103,7 +103,7 @@
     /// An order was answered, or not; when it was sent, if it asked for a lease.
     Answered(Box<Order>, OrderOutcome, Option<u64>),
     /// The advice service answered, or not.
-    Advised(Box<AdviceQuestion>, Option<Advised>),
+    Advised(Box<AdviceQuestion>, Option<AdviceReply>),
     /// Records were stored, or not.
     Committed(Committed),
     /// The configuration has changed.
--- a/crates/agatesilld/tests/fleet_soak/callers.rs
+++ b/crates/agatesilld/tests/fleet_soak/callers.rs
@@ -13,9 +13,9 @@
 use crate::daemon::Daemon;
 use crate::faults;
 use crate::run::History;
-use crate::support::caller::{Line, Outcome};
-use crate::support::floor::Floor;
+use crate::support::caller::{Connection, Outcome};
 use crate::support::settings::{self, Step, TaskFault};
+use crate::support::simulated_workers::SimulatedWorkers;
 
 /// How long a caller waits for an answer.
 const PATIENCE: Duration = Duration::from_secs(3);
@@ -67,8 +67,8 @@
     daemons: Vec<Arc<Daemon>>,
     /// Whether the balancer makes new connections to each daemon.
     is_offered: Vec<AtomicBool>,
-    lines: Vec<Vec<AsyncMutex<Line>>>,
-    floor: Arc<Floor>,
+    lines: Vec<Vec<AsyncMutex<Connection>>>,
+    floor: Arc<SimulatedWorkers>,
     history: Arc<History>,
 }
 
@@ -84,9 +84,13 @@
 }
 
 impl Callers {
-    pub fn new(daemons: &[Arc<Daemon>], floor: Arc<Floor>, history: Arc<History>) -> Self {
+    pub fn new(
+        daemons: &[Arc<Daemon>],
+        floor: Arc<SimulatedWorkers>,
+        history: Arc<History>,
+    ) -> Self {
         let lines = |daemon: &Arc<Daemon>| {
-            (0..LINES).map(|_| AsyncMutex::new(Line::new(daemon.places.entry))).collect()
+            (0..LINES).map(|_| AsyncMutex::new(Connection::new(daemon.places.entry))).collect()
         };
         Self {
             known: Mutex::default(),
@@ -153,7 +157,7 @@
         if faults::has_crashing_tasks(seed) && CRASHING_JOBS.contains(&number) {
             task_fault = TaskFault::CrashesWorker;
         }
-        self.floor.hand_in(&id, &steps);
+        self.floor.submit(&id, &steps);
         let body = settings::job(&steps, task_fault);
         let handing = self.hand_in(&mut random, queue, &id, &body).await;
         let known =
@@ -246,11 +250,11 @@
 /// A job by its number: the first three last; the others are the desk's or batch work, some of
 /// which can't be done.
 fn draw(random: &mut Pcg64Mcg, number: u32) -> (&'static str, Vec<Step>, TaskFault) {
-    let step = |count, work_ms, cpu_milli, is_filling, after| Step {
+    let step = |count, work_ms, cpu_milli, is_best_effort, after| Step {
         count,
         work_ms,
         cpu_milli,
-        is_filling,
+        is_best_effort,
         after,
     };
     if number < 3 {
--- a/crates/agatesilld/tests/fleet_soak/daemon.rs
+++ b/crates/agatesilld/tests/fleet_soak/daemon.rs
@@ -14,7 +14,7 @@
 
 use crate::support::caller::call;
 use crate::support::proxy::Proxy;
-use crate::support::settings::{self, Places};
+use crate::support::settings::{self, ListenAddrs};
 
 /// Number of the signal that asks a process to stop.
 const SIGTERM: i32 = 15;
@@ -27,7 +27,7 @@
 
 pub struct Daemon {
     pub name: String,
-    pub places: Places,
+    pub places: ListenAddrs,
     /// Between this daemon and the store.
     pub store: Proxy,
     folder: PathBuf,
@@ -48,7 +48,7 @@
         cpu_share: f64,
         stop: &CancellationToken,
     ) -> Self {
-        let places = Places::free().await;
+        let places = ListenAddrs::allocate().await;
         let store = Proxy::start(store, stop).await;
         let metrics_port = crate::support::free_addr().await.port();
         let text = settings::daemon(name, &places, store.addr, cpu_share);
--- a/crates/agatesilld/tests/fleet_soak/faults.rs
+++ b/crates/agatesilld/tests/fleet_soak/faults.rs
@@ -5,8 +5,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::support::floor::WorkerFault;
 use crate::support::proxy::LinkFault;
+use crate::support::simulated_workers::WorkerFault;
 use crate::support::store::StoreFault;
 
 /// Faults strike within this time; then everything is mended.
@@ -131,7 +131,7 @@
     let delay = Duration::from_millis(random.random_range(1_000..4_000));
     let link = match random.random_range(0..4) {
         0 => LinkFault::Silent,
-        1 => LinkFault::NoWayBack,
+        1 => LinkFault::BlocksReplies,
         2 => LinkFault::Reset,
         _ => LinkFault::Delay(delay / 10),
     };
--- a/crates/agatesilld/tests/fleet_soak/run.rs
+++ b/crates/agatesilld/tests/fleet_soak/run.rs
@@ -12,9 +12,9 @@
 use crate::callers::{Callers, Handing, Told};
 use crate::daemon::Daemon;
 use crate::faults::{self, Fault, SPAN, Strike};
-use crate::support::floor::{CPU_MILLI, Floor, WorkerFault};
 use crate::support::proxy::{LinkFault, Proxy};
 use crate::support::settings;
+use crate::support::simulated_workers::{CPU_MILLI, SimulatedWorkers, WorkerFault};
 use crate::support::store::{FakeStore, StoreFault};
 use crate::support::worker::FakeWorker;
 
@@ -94,7 +94,7 @@
     pub folder: PathBuf,
     pub daemons: Vec<Arc<Daemon>>,
     pub store: Arc<FakeStore>,
-    pub floor: Arc<Floor>,
+    pub floor: Arc<SimulatedWorkers>,
     pub callers: Arc<Callers>,
     pub history: Arc<History>,
     seats: Vec<Seat>,
@@ -111,7 +111,7 @@
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).unwrap();
         let (store, store_addr) = FakeStore::start(&stop).await;
-        let floor = Arc::new(Floor::new(true));
+        let floor = Arc::new(SimulatedWorkers::new(true));
         if faults::has_crashing_tasks(seed) {
             floor.allow_overcommit();
         }
@@ -270,12 +270,12 @@
                 tokio::time::sleep(lasts).await;
                 self.store.set_fault(StoreFault::None);
             }
-            Fault::ForgetHistory => self.store.forget_history(),
+            Fault::ForgetHistory => self.store.compact_history(),
             Fault::CloseZone => {
                 self.store.put("op/evacuate/b", "{}");
-                self.floor.set_closed(Some("b"));
+                self.floor.set_closed_zone(Some("b"));
                 tokio::time::sleep(lasts).await;
-                self.floor.set_closed(None);
+                self.floor.set_closed_zone(None);
                 self.store.remove("op/evacuate/b");
             }
             Fault::RevokePlanner => self.store.remove("own/planner"),
@@ -383,7 +383,7 @@
             }
             let is_lasting = job.steps.iter().any(|step| step.work_ms == 0);
             if job.is_cancelled {
-                let running = self.floor.running_of(id);
+                let running = self.floor.running_tasks(id);
                 open.extend(running.iter().map(|task| format!("{task} runs on, cancelled")));
             } else if is_lasting {
                 let tasks = (0..job.steps[0].count).map(|index| format!("{id}.0.0.{index}"));
@@ -432,7 +432,7 @@
 impl Seat {
     async fn take(
         name: &str,
-        floor: &Arc<Floor>,
+        floor: &Arc<SimulatedWorkers>,
         store: &FakeStore,
         stop: &CancellationToken,
     ) -> Self {
@@ -444,7 +444,7 @@
     async fn reseat(
         &self,
         replaced: &FakeWorker,
-        floor: &Arc<Floor>,
+        floor: &Arc<SimulatedWorkers>,
         store: &FakeStore,
         stop: &CancellationToken,
     ) {
@@ -463,7 +463,7 @@
 
 async fn new_life(
     id: &str,
-    floor: &Arc<Floor>,
+    floor: &Arc<SimulatedWorkers>,
     store: &FakeStore,
     stop: &CancellationToken,
 ) -> (Arc<FakeWorker>, Arc<Proxy>) {
