--- a/crates/agatesilld/src/daemon.rs
+++ b/crates/agatesilld/src/daemon.rs
@@ -125,10 +125,10 @@
         let config = changes.borrow_and_update().clone();
         refresh_services(&shared, &config.doc);
         let version = config.version;
-        decider.deliver(DecideEvent::Config(config));
+        decider.send(DecideEvent::Config(config));
         // The ring keeps its order: an answer to a later event means that this one is in force.
         let (reply, answered) = oneshot::channel();
-        decider.deliver(DecideEvent::Loads(reply));
+        decider.send(DecideEvent::LocalLoads(reply));
         if answered.await.is_ok() {
             shared.set_served_version(version);
         }
@@ -138,7 +138,7 @@
     let late_changes = async {
         while changes.changed().await.is_ok() {
             let config = changes.borrow_and_update().clone();
-            decider.deliver(DecideEvent::Config(config));
+            decider.send(DecideEvent::Config(config));
         }
     };
     tokio::select! {
--- a/crates/agatesilld/src/decide/mod.rs
+++ b/crates/agatesilld/src/decide/mod.rs
@@ -58,7 +58,7 @@
         loads: Vec<(UpstreamId, u32)>,
     },
     /// Another daemon is stopping.
-    PeerGone(String),
+    PeerTerminated(String),
     /// An upstream gave a sign of leaving.
     Leaving {
         /// The upstream.
@@ -67,7 +67,7 @@
         is_first_hand: bool,
     },
     /// Asks for this daemon's own requests in flight.
-    Loads(oneshot::Sender<Vec<(UpstreamId, u32)>>),
+    LocalLoads(oneshot::Sender<Vec<(UpstreamId, u32)>>),
 }
 
 /// The sending end of the ring.
@@ -104,7 +104,7 @@
     }
 
     /// Offers an event; a full ring is counted and a typed refusal.
-    pub fn offer(&self, event: DecideEvent) -> Result<(), Error> {
+    pub fn try_send(&self, event: DecideEvent) -> Result<(), Error> {
         self.ring.try_send(event).map_err(|error| match error {
             TrySendError::Full(_) => {
                 self.shared.counters().decide_ring_full.add();
@@ -116,7 +116,7 @@
 
     /// Delivers an event that must not be lost; waits for room, which the deciding thread makes
     /// without waiting for anybody.
-    pub fn deliver(&self, event: DecideEvent) {
+    pub fn send(&self, event: DecideEvent) {
         let _ = self.ring.send(event);
     }
 }
--- a/crates/agatesilld/src/decide/state.rs
+++ b/crates/agatesilld/src/decide/state.rs
@@ -119,7 +119,7 @@
                     pool.policy.update_peer_loads(now_us, &instance, 0, &loads);
                 }
             }
-            DecideEvent::PeerGone(instance) => {
+            DecideEvent::PeerTerminated(instance) => {
                 for pool in &mut self.pools {
                     pool.policy.peer_terminated(now_us, &instance);
                 }
@@ -127,7 +127,7 @@
             DecideEvent::Leaving { upstream, is_first_hand } => {
                 self.mark_leaving(now_us, upstream, is_first_hand);
             }
-            DecideEvent::Loads(reply) => {
+            DecideEvent::LocalLoads(reply) => {
                 let loads = self.pools.iter().flat_map(|pool| pool.policy.local_load()).collect();
                 let _ = reply.send(loads);
             }
--- a/crates/agatesilld/src/peers.rs
+++ b/crates/agatesilld/src/peers.rs
@@ -280,7 +280,7 @@
 
     async fn heartbeat(&self, sequence: u64) -> Heartbeat {
         let (reply, loads) = oneshot::channel();
-        let asked = self.decider.offer(DecideEvent::Loads(reply));
+        let asked = self.decider.try_send(DecideEvent::LocalLoads(reply));
         let loads = match asked {
             Ok(()) => loads.await.unwrap_or_default(),
             Err(_) => Vec::new(),
@@ -389,12 +389,12 @@
             instance: from.to_owned(),
             loads: loads.into_iter().collect(),
         };
-        let _ = self.decider.offer(event);
+        let _ = self.decider.try_send(event);
         if heartbeat.stopping {
-            let _ = self.decider.offer(DecideEvent::PeerGone(from.to_owned()));
+            let _ = self.decider.try_send(DecideEvent::PeerTerminated(from.to_owned()));
         }
         for upstream in heartbeat.leaving.iter().copied() {
-            let _ = self.decider.offer(DecideEvent::Leaving { upstream, is_first_hand: false });
+            let _ = self.decider.try_send(DecideEvent::Leaving { upstream, is_first_hand: false });
         }
     }
 
--- a/crates/agatesilld/src/relay/attempts.rs
+++ b/crates/agatesilld/src/relay/attempts.rs
@@ -31,7 +31,7 @@
 impl Drop for Ticketed<'_> {
     fn drop(&mut self) {
         if !self.is_over {
-            self.decider.deliver(DecideEvent::Finish {
+            self.decider.send(DecideEvent::Finish {
                 ticket: self.ticket,
                 outcome: Outcome::Abandoned,
                 again: None,
@@ -43,14 +43,14 @@
 impl Ticketed<'_> {
     fn end(&mut self, outcome: Outcome) {
         self.is_over = true;
-        self.decider.deliver(DecideEvent::Finish { ticket: self.ticket, outcome, again: None });
+        self.decider.send(DecideEvent::Finish { ticket: self.ticket, outcome, again: None });
     }
 
     /// Reports a failure and waits for leave to send again.
     async fn again(&mut self, outcome: Outcome) -> Verdict {
         let (again, decided) = oneshot::channel();
         let ticket = self.ticket;
-        self.decider.deliver(DecideEvent::Finish { ticket, outcome, again: Some(again) });
+        self.decider.send(DecideEvent::Finish { ticket, outcome, again: Some(again) });
         let verdict = decided.await.unwrap_or_else(|_| Err(stopped()));
         self.is_over = verdict.is_err();
         verdict
@@ -143,7 +143,7 @@
 
     async fn arrive(&self, call: &Call) -> Verdict {
         let (verdict, decided) = oneshot::channel();
-        self.decider.offer(DecideEvent::Arrive(Arrival {
+        self.decider.try_send(DecideEvent::Arrive(Arrival {
             service: call.service.clone(),
             request_id: call.request_id.clone(),
             head: call.head.clone(),
@@ -231,7 +231,7 @@
     }
 
     fn leaving(&self, upstream: UpstreamId) {
-        let _ = self.decider.offer(DecideEvent::Leaving { upstream, is_first_hand: true });
+        let _ = self.decider.try_send(DecideEvent::Leaving { upstream, is_first_hand: true });
     }
 }
 
--- a/crates/agatesilld/src/relay/once.rs
+++ b/crates/agatesilld/src/relay/once.rs
@@ -18,7 +18,7 @@
 use super::Relay;
 use super::body::{AnswerBody, Intake};
 use super::call::{Call, Naming};
-use super::record::{Claim, KeptAnswer, Settled};
+use super::record::{Claim, KeptAnswer, RunOutcome};
 use crate::shared::Shared;
 
 /// First pause between two looks at a request that still runs elsewhere; doubles each time.
@@ -42,7 +42,7 @@
     /// It ran; `body` is there when the whole answer was short enough to keep.
     pub fn answered(self, parts: &Parts, body: Option<Bytes>) {
         let how = match body {
-            Some(body) => Settled::Answered(KeptAnswer {
+            Some(body) => RunOutcome::Answered(KeptAnswer {
                 status: parts.status.as_u16(),
                 headers: parts
                     .headers
@@ -53,7 +53,7 @@
                     .collect(),
                 body,
             }),
-            None => Settled::Ran,
+            None => RunOutcome::Ran,
         };
         self.settle(how);
     }
@@ -61,13 +61,13 @@
     /// It failed; the error says whether it may have run.
     pub fn failed(self, error: &Error) {
         self.settle(match error.kind.row().was_run {
-            WasRun::No => Settled::NotRun,
-            WasRun::Unknown => Settled::Unknown,
-            WasRun::Yes => Settled::Ran,
+            WasRun::No => RunOutcome::NotRun,
+            WasRun::Unknown => RunOutcome::Unknown,
+            WasRun::Yes => RunOutcome::Ran,
         });
     }
 
-    fn settle(mut self, how: Settled) {
+    fn settle(mut self, how: RunOutcome) {
         self.is_settled = true;
         self.shared.settle_record(&self.key, how);
     }
@@ -76,7 +76,7 @@
 impl Drop for Settler {
     fn drop(&mut self) {
         if !self.is_settled {
-            self.shared.settle_record(&self.key, Settled::Unknown);
+            self.shared.settle_record(&self.key, RunOutcome::Unknown);
         }
     }
 }
--- a/crates/agatesilld/src/relay/record.rs
+++ b/crates/agatesilld/src/relay/record.rs
@@ -31,7 +31,7 @@
 
 /// How a recorded request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Settled {
+pub enum RunOutcome {
     /// It ran, and this is its answer.
     Answered(KeptAnswer),
     /// It ran; its answer was too large to keep.
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 enum State {
     Running,
-    Settled(Settled),
+    Settled(RunOutcome),
     HandedOver,
 }
 
@@ -174,10 +174,10 @@
         match &record.state {
             State::Running => Claim::Running,
             State::HandedOver => Claim::HandedOver,
-            State::Settled(Settled::Unknown) => Claim::Unknown,
-            State::Settled(Settled::Ran) => Claim::Ran(None),
-            State::Settled(Settled::Answered(answer)) => Claim::Ran(Some(answer.clone())),
-            State::Settled(Settled::NotRun) => {
+            State::Settled(RunOutcome::Unknown) => Claim::Unknown,
+            State::Settled(RunOutcome::Ran) => Claim::Ran(None),
+            State::Settled(RunOutcome::Answered(answer)) => Claim::Ran(Some(answer.clone())),
+            State::Settled(RunOutcome::NotRun) => {
                 record.state = State::HandedOver;
                 Claim::Granted
             }
@@ -185,13 +185,13 @@
     }
 
     /// Records how a running request ended.
-    pub fn settle(&mut self, key: &str, how: Settled, now_ms: u64) {
+    pub fn settle(&mut self, key: &str, how: RunOutcome, now_ms: u64) {
         let Some(record) = self.records.get_mut(key) else { return };
         if !matches!(record.state, State::Running) {
             return;
         }
         let how = match how {
-            Settled::Answered(answer) if answer.body.len() > MAX_ANSWER_BYTES => Settled::Ran,
+            RunOutcome::Answered(answer) if answer.body.len() > MAX_ANSWER_BYTES => RunOutcome::Ran,
             how => how,
         };
         self.kept_bytes += kept_bytes(&how);
@@ -227,9 +227,9 @@
     }
 }
 
-fn kept_bytes(how: &Settled) -> usize {
+fn kept_bytes(how: &RunOutcome) -> usize {
     match how {
-        Settled::Answered(answer) => {
+        RunOutcome::Answered(answer) => {
             let headers = answer.headers.iter().map(|(name, value)| name.len() + value.len());
             answer.body.len() + headers.sum::<usize>()
         }
--- a/crates/agatesilld/src/shared.rs
+++ b/crates/agatesilld/src/shared.rs
@@ -9,7 +9,7 @@
 use agatesill_wire::api::{CellStatus, ServiceStatus, VersionedConfig};
 use tokio::sync::watch;
 
-use crate::relay::record::{Claim, Records, Settled};
+use crate::relay::record::{Claim, Records, RunOutcome};
 use crate::settings::RecordSettings;
 
 /// A count that several threads raise.
@@ -130,7 +130,7 @@
     }
 
     /// Records how a run ended; see [`Records::settle`].
-    pub fn settle_record(&self, key: &str, how: Settled) {
+    pub fn settle_record(&self, key: &str, how: RunOutcome) {
         self.records().settle(key, how, self.now_ms());
     }
 
