--- a/crates/agatesilld/src/decide/mod.rs
+++ b/crates/agatesilld/src/decide/mod.rs
@@ -1,4 +1,5 @@
-//! The deciding thread: one [`RequestPolicy`] for each pool, fed over a bounded ring.
+//! The decision thread, which admits and routes requests. It runs one [`RequestPolicy`] for each
+//! upstream pool and receives its events over a bounded ring.
 
 mod state;
 
@@ -15,62 +16,63 @@
 use crate::shared::Shared;
 use state::State;
 
-/// Events that may wait for the deciding thread; one that finds no room is refused.
+/// Capacity of the ring to the decision thread, in events; [`Decider::try_send`] fails when it is
+/// full.
 pub const DECIDE_RING_EVENTS: usize = 8_192;
 
-/// What the policy said to one request: the upstream to send to, or why not.
-pub type Verdict = Result<UpstreamId, Error>;
+/// Decision on one request: the upstream to send it to, or the reason for a refusal.
+pub type RouteResult = Result<UpstreamId, Error>;
 
-/// A request that asks where it may go.
+/// An arriving request that needs a routing decision.
 #[derive(Debug)]
 pub struct Arrival {
-    /// Its service.
+    /// Name of the requested service.
     pub service: String,
-    /// Its identity in the logs of all processes.
+    /// Request ID in the logs of all processes.
     pub request_id: String,
-    /// What the policy needs to know; the deciding thread fills in the service's index.
+    /// Input of the request policy; the decision thread sets the service index.
     pub head: RequestHead,
-    /// Where the verdict goes.
-    pub verdict: oneshot::Sender<Verdict>,
+    /// Receives the decision.
+    pub reply: oneshot::Sender<RouteResult>,
 }
 
-/// An event for the deciding thread.
+/// An event for the decision thread.
 #[derive(Debug)]
 pub enum DecideEvent {
     /// A request arrived.
     Arrive(Arrival),
-    /// An exchange ended, or the caller of a waiting request went away.
+    /// An exchange ended, or the caller of a queued request disconnected.
     Finish {
-        /// The request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// How it ended.
+        /// Outcome of the exchange.
         outcome: Outcome,
-        /// Where to say whether it may be sent again; none when it is not wanted.
-        again: Option<oneshot::Sender<Verdict>>,
+        /// Receives the decision on a retry; `None` if no retry is wanted.
+        retry_reply: Option<oneshot::Sender<RouteResult>>,
     },
-    /// Another configuration is in force.
+    /// Another configuration became active.
     Config(Arc<VersionedConfig>),
-    /// Another daemon's requests in flight, by upstream.
+    /// Another daemon reported its load.
     PeerLoads {
-        /// That daemon.
+        /// Instance name of that daemon.
         instance: String,
-        /// Its requests in flight.
+        /// Its requests in flight, by upstream.
         loads: Vec<(UpstreamId, u32)>,
     },
-    /// Another daemon is stopping.
+    /// Another daemon reported that it is stopping.
     PeerTerminated(String),
-    /// An upstream gave a sign of leaving.
+    /// An upstream indicated that it is leaving.
     Leaving {
         /// The upstream.
         upstream: UpstreamId,
-        /// Whether the sign came to this daemon itself rather than by a peer's word.
+        /// Whether this daemon observed the indication itself rather than receiving it from a peer.
         is_first_hand: bool,
     },
-    /// Asks for this daemon's own requests in flight.
+    /// Queries this daemon's own requests in flight, by upstream.
     LocalLoads(oneshot::Sender<Vec<(UpstreamId, u32)>>),
 }
 
-/// The sending end of the ring.
+/// Handle that sends events to the decision thread.
 #[derive(Clone, Debug)]
 pub struct Decider {
     ring: Sender<DecideEvent>,
@@ -79,7 +81,7 @@
 }
 
 impl Decider {
-    /// Starts the thread; it ends when every sender is gone.
+    /// Starts the thread; it ends when all clones of the handle are dropped.
     pub fn start(settings: &Settings, shared: &Shared) -> std::io::Result<Self> {
         let (ring, events) = bounded(DECIDE_RING_EVENTS);
         let started = Instant::now();
@@ -88,34 +90,38 @@
         Ok(Self { ring, started, shared: shared.clone() })
     }
 
-    /// Time on the clock that deadlines are given in.
+    /// Microseconds since the start, on the clock of the request deadlines.
     pub fn now_us(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
 
-    /// The moment that `us` on that clock names.
+    /// Converts a time of [`Decider::now_us`] to an instant.
     pub fn instant(&self, us: u64) -> Instant {
         self.started + std::time::Duration::from_micros(us)
     }
 
-    /// Events that wait for the thread.
+    /// Number of events queued in the ring.
     pub fn waiting_events(&self) -> usize {
         self.ring.len()
     }
 
-    /// Offers an event; a full ring is counted and a typed refusal.
+    /// Sends an event without blocking. A full ring is counted and returned as an error of the kind
+    /// [`ErrorKind::RingFull`].
     pub fn try_send(&self, event: DecideEvent) -> Result<(), Error> {
         self.ring.try_send(event).map_err(|error| match error {
             TrySendError::Full(_) => {
                 self.shared.counters().decide_ring_full.add();
-                Error::new(ErrorKind::RingFull, "ring to the deciding thread").retry_after(100)
+                Error::new(ErrorKind::RingFull, "ring to the decision thread is full")
+                    .retry_after(100)
+            }
+            TrySendError::Disconnected(_) => {
+                Error::new(ErrorKind::Stopping, "decision thread has stopped")
             }
-            TrySendError::Disconnected(_) => Error::new(ErrorKind::Stopping, "deciding thread"),
         })
     }
 
-    /// Delivers an event that must not be lost; waits for room, which the deciding thread makes
-    /// without waiting for anybody.
+    /// Sends an event that must not be lost. Blocks while the ring is full, which cannot deadlock:
+    /// the decision thread drains the ring without waiting for any other thread.
     pub fn send(&self, event: DecideEvent) {
         let _ = self.ring.send(event);
     }
--- a/crates/agatesilld/src/decide/state.rs
+++ b/crates/agatesilld/src/decide/state.rs
@@ -1,4 +1,4 @@
-//! What the deciding thread holds: the policies of all pools and the requests they decide on.
+//! State of the decision thread: the policies of all pools and the pending requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -10,16 +10,17 @@
 use tokio::sync::oneshot;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{Arrival, DecideEvent, Verdict};
+use super::{Arrival, DecideEvent, RouteResult};
 use crate::settings::{Settings, UpstreamSettings};
 use crate::shared::Shared;
 
-/// Longest time between two looks at deadlines.
-const TICK: Duration = Duration::from_millis(5);
+/// Maximum interval between two checks of deadlines.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long a sign of leaving holds. Longer than a process takes to finish and go; shorter than
-/// an operator takes to wonder why a returned upstream is idle.
-const LEAVING_FOR: Duration = Duration::from_secs(60);
+/// How long an upstream counts as leaving after an indication. Longer than a process takes to
+/// drain and exit, but short enough that an upstream that was restarted does not stay idle for
+/// long.
+const LEAVING_DURATION: Duration = Duration::from_secs(60);
 
 struct Pool {
     name: String,
@@ -28,24 +29,24 @@
     services: Vec<String>,
 }
 
-struct ServicePlace {
+struct ServiceEntry {
     pool: usize,
     index: ServiceIndex,
     profile: String,
 }
 
-/// A request between its arrival and its end.
+/// A request that has arrived and not yet ended.
 struct Pending {
     pool: usize,
     service: String,
     profile: String,
     request_id: String,
-    verdict: Option<oneshot::Sender<Verdict>>,
+    reply: Option<oneshot::Sender<RouteResult>>,
 }
 
 pub(super) struct State {
     pools: Vec<Pool>,
-    services: BTreeMap<String, ServicePlace>,
+    services: BTreeMap<String, ServiceEntry>,
     pending: HashMap<Ticket, Pending>,
     leaving: BTreeMap<UpstreamId, (u64, bool)>,
     config_version: u64,
@@ -87,7 +88,7 @@
     }
 
     pub(super) fn run(&mut self, events: &Receiver<DecideEvent>) {
-        let mut next_tick = Instant::now() + TICK;
+        let mut next_tick = Instant::now() + TICK_INTERVAL;
         loop {
             match events.recv_deadline(next_tick) {
                 Ok(event) => self.handle(event),
@@ -97,7 +98,7 @@
             let now = Instant::now();
             if now >= next_tick {
                 self.tick();
-                next_tick = now + TICK;
+                next_tick = now + TICK_INTERVAL;
             }
         }
     }
@@ -110,8 +111,8 @@
         let now_us = self.now_us();
         match event {
             DecideEvent::Arrive(arrival) => self.arrive(now_us, arrival),
-            DecideEvent::Finish { ticket, outcome, again } => {
-                self.finish(now_us, ticket, outcome, again);
+            DecideEvent::Finish { ticket, outcome, retry_reply } => {
+                self.finish(now_us, ticket, outcome, retry_reply);
             }
             DecideEvent::Config(config) => self.configure(&config),
             DecideEvent::PeerLoads { instance, loads } => {
@@ -135,17 +136,17 @@
     }
 
     fn arrive(&mut self, now_us: u64, arrival: Arrival) {
-        let Arrival { service, request_id, mut head, verdict } = arrival;
+        let Arrival { service, request_id, mut head, reply } = arrival;
         let Some(place) = self.services.get(&service) else {
-            let what = format!("no pool for service {service}");
-            let _ = verdict.send(Err(Error::new(ErrorKind::NotFound, what)));
+            let message = format!("no upstream pool for service {service}");
+            let _ = reply.send(Err(Error::new(ErrorKind::NotFound, message)));
             return;
         };
         head.service = place.index;
-        let (pool, profile, verdict) = (place.pool, place.profile.clone(), Some(verdict));
-        self.pending.insert(head.ticket, Pending { pool, service, profile, request_id, verdict });
+        let (pool, profile, reply) = (place.pool, place.profile.clone(), Some(reply));
+        self.pending.insert(head.ticket, Pending { pool, service, profile, request_id, reply });
         self.pools[pool].policy.arrive(now_us, head, &mut self.actions);
-        self.carry_out(now_us, pool);
+        self.execute_actions(now_us, pool);
     }
 
     fn finish(
@@ -153,24 +154,24 @@
         now_us: u64,
         ticket: Ticket,
         outcome: Outcome,
-        again: Option<oneshot::Sender<Verdict>>,
+        retry_reply: Option<oneshot::Sender<RouteResult>>,
     ) {
         let Some(pending) = self.pending.get_mut(&ticket) else { return };
         let pool = pending.pool;
-        pending.verdict = again;
+        pending.reply = retry_reply;
         if matches!(outcome, Outcome::Answered | Outcome::Abandoned) {
             self.pending.remove(&ticket);
         }
         self.pools[pool].policy.finish(now_us, ticket, outcome, &mut self.actions);
-        self.carry_out(now_us, pool);
+        self.execute_actions(now_us, pool);
     }
 
     fn tick(&mut self) {
         let now_us = self.now_us();
-        self.relist(now_us);
+        self.expire_leaving(now_us);
         for pool in 0..self.pools.len() {
             self.pools[pool].policy.tick(now_us, &mut self.actions);
-            self.carry_out(now_us, pool);
+            self.execute_actions(now_us, pool);
         }
     }
 
@@ -179,30 +180,31 @@
         self.services.clear();
         for (name, service) in &config.doc.services {
             let Some(profile) = config.doc.profiles.get(&service.profile) else { continue };
-            let found = self.pools.iter().position(|pool| pool.name == service.pool);
-            let Some(pool) = found else { continue };
+            let position = self.pools.iter().position(|pool| pool.name == service.pool);
+            let Some(pool) = position else { continue };
             let limits = ServiceLimits {
                 promise_us: u64::from(profile.answer_ms) * 1_000,
                 priority: profile.priority,
                 queue_requests: profile.queue_requests,
             };
             let services = &mut self.pools[pool].services;
-            let index = services.iter().position(|one| one == name).unwrap_or_else(|| {
+            let index = services.iter().position(|existing| existing == name).unwrap_or_else(|| {
                 services.push(name.clone());
                 services.len() - 1
             }) as ServiceIndex;
             self.pools[pool].policy.set_service(index, limits);
-            let place = ServicePlace { pool, index, profile: service.profile.clone() };
+            let place = ServiceEntry { pool, index, profile: service.profile.clone() };
             self.services.insert(name.clone(), place);
         }
     }
 
-    /// Stops new work to an upstream at the first sign; a sign seen here is passed on to the
-    /// peers, one heard from a peer is not, so that no sign circles for ever.
+    /// Stops sending new requests to an upstream at the first indication that it is leaving. Only
+    /// indications that this daemon observed itself are forwarded to the peers, so that none
+    /// circulates between daemons forever.
     fn mark_leaving(&mut self, now_us: u64, upstream: UpstreamId, is_first_hand: bool) {
-        let until_us = now_us + LEAVING_FOR.as_micros() as u64;
-        let known = self.leaving.get(&upstream).copied();
-        if known.is_some_and(|(_, first_hand)| first_hand >= is_first_hand) {
+        let until_us = now_us + LEAVING_DURATION.as_micros() as u64;
+        let previous = self.leaving.get(&upstream).copied();
+        if previous.is_some_and(|(_, first_hand)| first_hand >= is_first_hand) {
             return;
         }
         self.leaving.insert(upstream, (until_us, is_first_hand));
@@ -213,7 +215,7 @@
         self.publish_leaving();
     }
 
-    fn relist(&mut self, now_us: u64) {
+    fn expire_leaving(&mut self, now_us: u64) {
         if self.leaving.values().all(|(until_us, _)| *until_us > now_us) {
             return;
         }
@@ -232,7 +234,7 @@
         *self.shared.leaving() = first_hand.map(|(upstream, _)| *upstream).collect();
     }
 
-    fn carry_out(&mut self, now_us: u64, pool: usize) {
+    fn execute_actions(&mut self, now_us: u64, pool: usize) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
@@ -247,12 +249,12 @@
                 }
             }
         }
-        // Nothing new was pushed meanwhile except by a send that nobody waits for.
+        // Only a `Send` whose caller has disconnected adds actions while others are executed.
         actions.append(&mut self.actions);
-        let is_more = !actions.is_empty();
+        let has_more = !actions.is_empty();
         self.actions = actions;
-        if is_more {
-            self.carry_out(now_us, pool);
+        if has_more {
+            self.execute_actions(now_us, pool);
         }
     }
 
@@ -268,7 +270,7 @@
             self.pools[pool].policy.finish(now_us, ticket, Outcome::Abandoned, &mut self.actions);
             return;
         };
-        let sent = pending.verdict.take().map(|verdict| verdict.send(Ok(upstream)));
+        let sent = pending.reply.take().map(|reply| reply.send(Ok(upstream)));
         if !matches!(sent, Some(Ok(()))) {
             self.pending.remove(&ticket);
             self.pools[pool].policy.finish(now_us, ticket, Outcome::Abandoned, &mut self.actions);
@@ -294,9 +296,9 @@
             Refusal::NoUpstream => ErrorKind::NoUpstream,
         };
         self.log_end("refuse", &pending, kind.row().name, retry_after_ms);
-        if let Some(verdict) = pending.verdict {
+        if let Some(reply) = pending.reply {
             let error = Error::new(kind, format!("service {}", pending.service));
-            let _ = verdict.send(Err(error.retry_after(retry_after_ms)));
+            let _ = reply.send(Err(error.retry_after(retry_after_ms)));
         }
     }
 
@@ -308,9 +310,9 @@
             _ => (ErrorKind::UpstreamFailed, "broken"),
         };
         self.log_end("give_up", &pending, reason, retry_after_ms);
-        if let Some(verdict) = pending.verdict {
+        if let Some(reply) = pending.reply {
             let error = Error::new(kind, format!("service {}", pending.service));
-            let _ = verdict.send(Err(error.retry_after(retry_after_ms)));
+            let _ = reply.send(Err(error.retry_after(retry_after_ms)));
         }
     }
 
--- a/crates/agatesilld/src/relay/attempts.rs
+++ b/crates/agatesilld/src/relay/attempts.rs
@@ -1,4 +1,4 @@
-//! Sending a request, again where the policy allows it, until it is answered or given up.
+//! Sends a request, and retries it where the policy allows that, until it is answered or given up.
 
 use agatesill_policy::prelude::*;
 use agatesill_wire::prelude::*;
@@ -10,146 +10,161 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::answer::{Pump, pump};
-use super::body::{ANSWER_PIECES, AnswerBody, Intake, UpstreamBody};
+use super::at_most_once::RecordGuard;
+use super::body::{MAX_QUEUED_CHUNKS, RequestBody, ResponseBody, UpstreamBody};
 use super::call::Call;
-use super::exchange::{Reply, closes, exchange, strip_hop_by_hop};
-use super::once::Settler;
+use super::exchange::{ExchangeResult, closes_connection, exchange, strip_hop_by_hop};
+use super::response::{ResponseStream, stream_response};
 use super::{DEADLINE_HEADER, REQUEST_ID_HEADER, Relay};
-use crate::decide::{Arrival, DecideEvent, Decider, Verdict};
+use crate::decide::{Arrival, DecideEvent, Decider, RouteResult};
 
-/// Tells the deciding thread that the caller went away, unless the end was told before.
+/// Reports the request to the decision thread as abandoned when dropped, unless its end was
+/// reported before.
 ///
-/// Guards against slots that leak: hyper drops the exchange of a caller that disconnects, wherever
-/// it waits, and the policy would count the request as in flight for ever.
-struct Ticketed<'a> {
+/// Prevents leaked slots: hyper drops the exchange of a caller that disconnects at any await point,
+/// and the policy would otherwise count the request as in flight forever.
+struct TicketGuard<'a> {
     decider: &'a Decider,
     ticket: Ticket,
-    is_over: bool,
+    is_finished: bool,
 }
 
-impl Drop for Ticketed<'_> {
+impl Drop for TicketGuard<'_> {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_finished {
             self.decider.send(DecideEvent::Finish {
                 ticket: self.ticket,
                 outcome: Outcome::Abandoned,
-                again: None,
+                retry_reply: None,
             });
         }
     }
 }
 
-impl Ticketed<'_> {
+impl TicketGuard<'_> {
     fn end(&mut self, outcome: Outcome) {
-        self.is_over = true;
-        self.decider.send(DecideEvent::Finish { ticket: self.ticket, outcome, again: None });
+        self.is_finished = true;
+        self.decider.send(DecideEvent::Finish { ticket: self.ticket, outcome, retry_reply: None });
     }
 
-    /// Reports a failure and waits for leave to send again.
-    async fn again(&mut self, outcome: Outcome) -> Verdict {
-        let (again, decided) = oneshot::channel();
+    /// Reports a failure and waits for the decision whether and where to retry.
+    async fn retry(&mut self, outcome: Outcome) -> RouteResult {
+        let (retry_reply, result) = oneshot::channel();
         let ticket = self.ticket;
-        self.decider.send(DecideEvent::Finish { ticket, outcome, again: Some(again) });
-        let verdict = decided.await.unwrap_or_else(|_| Err(stopped()));
-        self.is_over = verdict.is_err();
-        verdict
+        self.decider.send(DecideEvent::Finish { ticket, outcome, retry_reply: Some(retry_reply) });
+        let route = result.await.unwrap_or_else(|_| Err(stopped()));
+        self.is_finished = route.is_err();
+        route
     }
 }
 
 fn stopped() -> Error {
-    Error::new(ErrorKind::Stopping, "deciding thread")
+    Error::new(ErrorKind::Stopping, "decision thread has stopped")
 }
 
 impl Relay {
-    /// Sends the request until it is answered or given up; `limit` ends the last exchange.
+    /// Sends the request until it is answered or given up; `exchange_deadline` applies to
+    /// each exchange.
     ///
-    /// An error says `not run` only while no byte of any attempt may have left, or each upstream
-    /// that got one said itself that it did not run it.
+    /// An error reports `not run` only if each attempt was either not sent at all or refused by the
+    /// upstream as not run.
     pub(super) async fn attempts(
         &self,
         call: &Call,
         parts: &RequestParts,
-        body: Intake,
-        limit: Instant,
-        mut settler: Option<Settler>,
-    ) -> Result<Response<AnswerBody>, Error> {
-        let mut ticketed =
-            Ticketed { decider: &self.decider, ticket: call.head.ticket, is_over: false };
-        let (whole, mut streamed) = match body {
-            Intake::Whole(bytes) => (Some(bytes), None),
-            Intake::Streamed(stream) => (None, Some(stream)),
+        body: RequestBody,
+        exchange_deadline: Instant,
+        mut record_guard: Option<RecordGuard>,
+    ) -> Result<Response<ResponseBody>, Error> {
+        let mut ticket_guard =
+            TicketGuard { decider: &self.decider, ticket: call.head.ticket, is_finished: false };
+        let (buffered, mut streamed) = match body {
+            RequestBody::Buffered(bytes) => (Some(bytes), None),
+            RequestBody::Streamed(stream) => (None, Some(stream)),
         };
-        let mut verdict = self.arrive(call).await;
-        ticketed.is_over = verdict.is_err();
+        let mut route = self.arrive(call).await;
+        ticket_guard.is_finished = route.is_err();
         let mut failure: Option<Error> = None;
         let outcome = loop {
-            let upstream = match verdict {
+            let upstream = match route {
                 Ok(upstream) => upstream,
-                Err(error) => break Err(last_word(failure, error)),
+                Err(error) => break Err(final_error(failure, error)),
             };
-            let body = match (&whole, streamed.take()) {
-                (Some(bytes), _) => UpstreamBody::Whole(bytes.clone()),
+            let body = match (&buffered, streamed.take()) {
+                (Some(bytes), _) => UpstreamBody::Buffered(bytes.clone()),
                 (None, Some(stream)) => UpstreamBody::Streamed(stream),
-                (None, None) => break Err(last_word(failure, stopped())),
+                (None, None) => break Err(final_error(failure, stopped())),
             };
             let request = self.upstream_request(call, parts, body);
-            let reply = match self.addrs.get(&call.pool).and_then(|pool| pool.get(&upstream)) {
-                Some(addr) => exchange(&self.connections, *addr, request, limit).await,
-                None => Reply::NotSent(Error::new(ErrorKind::NoUpstream, "unknown upstream")),
+            let result = match self.addrs.get(&call.pool).and_then(|pool| pool.get(&upstream)) {
+                Some(addr) => exchange(&self.connections, *addr, request, exchange_deadline).await,
+                None => ExchangeResult::NotSent(Error::new(
+                    ErrorKind::NoUpstream,
+                    "upstream has no known address",
+                )),
             };
-            let (outcome, error) = match reply {
-                Reply::Whole(parts, bytes) => {
-                    ticketed.end(Outcome::Answered);
-                    self.see_leaving(upstream, &parts);
-                    break Ok(self.whole_answer(call, parts, bytes, settler.take()));
+            let (outcome, error) = match result {
+                ExchangeResult::Buffered(parts, bytes) => {
+                    ticket_guard.end(Outcome::Answered);
+                    self.mark_leaving_if_closing(upstream, &parts);
+                    break Ok(self.buffered_response(call, parts, bytes, record_guard.take()));
                 }
-                Reply::Begun(parts, rest, connection) => {
-                    ticketed.is_over = true;
-                    self.see_leaving(upstream, &parts);
-                    let may_keep = !closes(&parts);
-                    let must_finish = settler.is_some();
-                    let pump =
-                        Pump { body: rest, connection, may_keep, deadline: limit, must_finish };
-                    break Ok(self.long_answer(call, parts, pump, settler.take()));
+                ExchangeResult::Streamed(parts, rest, connection) => {
+                    ticket_guard.is_finished = true;
+                    self.mark_leaving_if_closing(upstream, &parts);
+                    let is_reusable = !closes_connection(&parts);
+                    let must_finish = record_guard.is_some();
+                    let response_stream = ResponseStream {
+                        body: rest,
+                        connection,
+                        is_reusable,
+                        deadline: exchange_deadline,
+                        must_finish,
+                    };
+                    break Ok(self.streamed_response(
+                        call,
+                        parts,
+                        response_stream,
+                        record_guard.take(),
+                    ));
                 }
-                Reply::TimedOut => {
-                    ticketed.end(Outcome::Abandoned);
+                ExchangeResult::TimedOut => {
+                    ticket_guard.end(Outcome::Abandoned);
                     break Err(timed_out(call));
                 }
-                Reply::Refused(error) => {
+                ExchangeResult::Refused(error) => {
                     if error.kind == ErrorKind::Stopping {
                         self.leaving(upstream);
                     }
                     (Outcome::Refused, error)
                 }
-                Reply::NotSent(error) => (Outcome::NotSent, error),
-                Reply::Broken(what) => (Outcome::Broken, broken(call, &what)),
+                ExchangeResult::NotSent(error) => (Outcome::NotSent, error),
+                ExchangeResult::Broken(message) => (Outcome::Broken, broken(call, &message)),
             };
-            let may_repeat =
-                whole.is_some() && (call.head.repeatable || outcome != Outcome::Broken);
-            failure = Some(worse(failure, error));
-            if !may_repeat {
-                ticketed.end(outcome);
-                break Err(last_word(failure, stopped()));
+            let may_retry =
+                buffered.is_some() && (call.head.repeatable || outcome != Outcome::Broken);
+            failure = Some(merge_failures(failure, error));
+            if !may_retry {
+                ticket_guard.end(outcome);
+                break Err(final_error(failure, stopped()));
             }
-            verdict = ticketed.again(outcome).await;
+            route = ticket_guard.retry(outcome).await;
         };
-        if let (Err(error), Some(settler)) = (&outcome, settler) {
-            settler.failed(error);
+        if let (Err(error), Some(record_guard)) = (&outcome, record_guard) {
+            record_guard.failed(error);
         }
         outcome
     }
 
-    async fn arrive(&self, call: &Call) -> Verdict {
-        let (verdict, decided) = oneshot::channel();
+    async fn arrive(&self, call: &Call) -> RouteResult {
+        let (reply, result) = oneshot::channel();
         self.decider.try_send(DecideEvent::Arrive(Arrival {
             service: call.service.clone(),
             request_id: call.request_id.clone(),
             head: call.head.clone(),
-            verdict,
+            reply,
         }))?;
-        decided.await.unwrap_or_else(|_| Err(stopped()))
+        result.await.unwrap_or_else(|_| Err(stopped()))
     }
 
     fn upstream_request(
@@ -164,8 +179,9 @@
         *request.version_mut() = Version::HTTP_11;
         let mut headers = parts.headers.clone();
         strip_hop_by_hop(&mut headers);
-        let left_ms = call.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
-        headers.insert(HeaderName::from_static(DEADLINE_HEADER), HeaderValue::from(left_ms));
+        let remaining_ms =
+            call.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
+        headers.insert(HeaderName::from_static(DEADLINE_HEADER), HeaderValue::from(remaining_ms));
         if let Ok(id) = HeaderValue::from_str(&call.request_id) {
             headers.insert(HeaderName::from_static(REQUEST_ID_HEADER), id);
         }
@@ -173,47 +189,49 @@
         request
     }
 
-    fn whole_answer(
+    fn buffered_response(
         &self,
         call: &Call,
         mut parts: Parts,
         bytes: Bytes,
-        settler: Option<Settler>,
-    ) -> Response<AnswerBody> {
-        self.dress(call, &mut parts);
-        if let Some(settler) = settler {
-            settler.answered(&parts, Some(bytes.clone()));
+        record_guard: Option<RecordGuard>,
+    ) -> Response<ResponseBody> {
+        self.set_response_headers(call, &mut parts);
+        if let Some(record_guard) = record_guard {
+            record_guard.answered(&parts, Some(bytes.clone()));
         }
-        Response::from_parts(parts, AnswerBody::Whole(bytes))
+        Response::from_parts(parts, ResponseBody::Buffered(bytes))
     }
 
-    fn long_answer(
+    fn streamed_response(
         &self,
         call: &Call,
         mut parts: Parts,
-        piped: Pump,
-        settler: Option<Settler>,
-    ) -> Response<AnswerBody> {
-        self.dress(call, &mut parts);
-        let (pieces, received) = mpsc::channel(ANSWER_PIECES);
-        let answer = Response::from_parts(parts, AnswerBody::Streamed(received));
-        let (mut kept, ()) = Response::new(()).into_parts();
-        kept.status = answer.status();
-        kept.headers = answer.headers().clone();
+        stream: ResponseStream,
+        record_guard: Option<RecordGuard>,
+    ) -> Response<ResponseBody> {
+        self.set_response_headers(call, &mut parts);
+        let (chunks, received) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        let response = Response::from_parts(parts, ResponseBody::Streamed(received));
+        let (mut recorded_parts, ()) = Response::new(()).into_parts();
+        recorded_parts.status = response.status();
+        recorded_parts.headers = response.headers().clone();
         let (decider, ticket) = (self.decider.clone(), call.head.ticket);
         self.tasks.spawn(async move {
-            let mut ticketed = Ticketed { decider: &decider, ticket, is_over: false };
-            let (outcome, copy) = pump(piped, pieces).await;
-            ticketed.end(outcome);
-            match (settler, outcome) {
-                (Some(settler), Outcome::Answered) => settler.answered(&kept, copy),
-                _ => drop(kept),
+            let mut ticket_guard = TicketGuard { decider: &decider, ticket, is_finished: false };
+            let (outcome, copy) = stream_response(stream, chunks).await;
+            ticket_guard.end(outcome);
+            match (record_guard, outcome) {
+                (Some(record_guard), Outcome::Answered) => {
+                    record_guard.answered(&recorded_parts, copy)
+                }
+                _ => drop(recorded_parts),
             }
         });
-        answer
+        response
     }
 
-    fn dress(&self, call: &Call, parts: &mut Parts) {
+    fn set_response_headers(&self, call: &Call, parts: &mut Parts) {
         strip_hop_by_hop(&mut parts.headers);
         parts.version = Version::HTTP_11;
         if let Ok(id) = HeaderValue::from_str(&call.request_id) {
@@ -224,8 +242,8 @@
         }
     }
 
-    fn see_leaving(&self, upstream: UpstreamId, parts: &Parts) {
-        if closes(parts) {
+    fn mark_leaving_if_closing(&self, upstream: UpstreamId, parts: &Parts) {
+        if closes_connection(parts) {
             self.leaving(upstream);
         }
     }
@@ -235,33 +253,35 @@
     }
 }
 
-/// The failure that claims less: once an attempt may have run, no later refusal undoes that.
-fn worse(earlier: Option<Error>, later: Error) -> Error {
+/// Returns the failure to report. Once an attempt may have run, the failure of a later attempt does
+/// not replace it, because it says nothing about the earlier run.
+fn merge_failures(earlier: Option<Error>, later: Error) -> Error {
     match earlier {
         Some(earlier) if earlier.kind.row().was_run != WasRun::No => earlier,
         _ => later,
     }
 }
 
-/// What the caller hears when the policy gives up: the failure itself, and when to come back.
-fn last_word(failure: Option<Error>, verdict: Error) -> Error {
+/// The error for the caller when the policy gives up: the failure itself if there is one, with the
+/// longer Retry-After.
+fn final_error(failure: Option<Error>, refusal: Error) -> Error {
     match failure {
         Some(failure) => {
-            let retry_after_ms = failure.retry_after_ms.max(verdict.retry_after_ms);
+            let retry_after_ms = failure.retry_after_ms.max(refusal.retry_after_ms);
             failure.retry_after(retry_after_ms)
         }
-        None => verdict,
+        None => refusal,
     }
 }
 
-fn broken(call: &Call, what: &str) -> Error {
+fn broken(call: &Call, message: &str) -> Error {
     let kind =
         if call.head.repeatable { ErrorKind::UpstreamFailed } else { ErrorKind::OutcomeUnknown };
-    Error::new(kind, what)
+    Error::new(kind, message)
 }
 
 fn timed_out(call: &Call) -> Error {
     let kind =
         if call.head.repeatable { ErrorKind::UpstreamTimeout } else { ErrorKind::OutcomeUnknown };
-    Error::new(kind, "no answer before the deadline")
+    Error::new(kind, "no response before the deadline")
 }
--- a/crates/agatesilld/src/relay/call.rs
+++ b/crates/agatesilld/src/relay/call.rs
@@ -1,4 +1,4 @@
-//! What a request asks for: its service, its deadline and whether it may be repeated.
+//! Parses the head of a request: its service, its deadline and whether it may be retried.
 
 use std::sync::atomic::Ordering;
 
@@ -14,79 +14,91 @@
     REQUEST_ID_HEADER, Relay, SERVICE_HEADER,
 };
 
-/// When a caller may come back to a daemon without a configuration: a peer or the store brings one
-/// within a heartbeat or a read.
-const NO_CONFIG_RETRY_MS: u32 = 500;
+/// Retry-After of a daemon without a configuration. The daemon receives one from a peer or the
+/// store within one heartbeat or one read.
+const NO_CONFIG_RETRY_AFTER_MS: u32 = 500;
 
-/// Patience of a caller that states none.
+/// Timeout of a request that states none.
 const DEFAULT_DEADLINE_MS: u64 = 10_000;
 
-/// Longest patience that a caller may state.
+/// Maximum timeout of a request; longer ones are reduced to it.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// Longest identity of a request or key.
-const MAX_NAME_BYTES: usize = 256;
+/// Maximum length of a request ID or an idempotency key.
+const MAX_ID_BYTES: usize = 256;
 
-/// A request as far as its head tells.
+/// The parsed head of a request.
 #[derive(Debug)]
 pub struct Call {
-    /// Its service.
+    /// Name of the requested service.
     pub service: String,
-    /// The pool that answers it.
+    /// Upstream pool of the service.
     pub pool: String,
-    /// The promised answer time.
+    /// Latency objective of the service.
     pub promise_ms: u32,
-    /// Its identity in the logs of all processes.
+    /// Request ID in the logs of all processes.
     pub request_id: String,
-    /// Latest useful answer time.
+    /// Time after which the caller no longer waits for the response.
     pub deadline: Instant,
-    /// What the policy needs to know.
+    /// Input of the request policy.
     pub head: RequestHead,
-    /// How the caller names a non-repeatable request over all its attempts.
-    pub naming: Option<Naming>,
+    /// Idempotency key and attempt number of a non-repeatable request, if the caller sent them.
+    pub attempt_id: Option<AttemptId>,
 }
 
-/// How the caller names a non-repeatable request.
+/// Identifies one attempt of a non-repeatable request.
 #[derive(Debug)]
-pub struct Naming {
-    /// Service, caller and idempotency key, so that no caller meets another's answer.
+pub struct AttemptId {
+    /// Service, caller and idempotency key, so that no caller receives the response to another
+    /// caller's request.
     pub key: String,
-    /// 1 for the first attempt.
+    /// Number of the attempt, 1 for the first.
     pub attempt: u32,
 }
 
 impl Relay {
-    pub(super) fn call(&self, request: &Request<Incoming>, now_us: u64) -> Result<Call, Error> {
+    pub(super) fn parse_call(
+        &self,
+        request: &Request<Incoming>,
+        now_us: u64,
+    ) -> Result<Call, Error> {
         let header = |name: &str| {
             request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
         };
-        check_form(request)?;
+        check_protocol(request)?;
         let config = self.shared.config();
         if config.version == 0 {
-            let what = "no configuration is in force here yet";
-            return Err(Error::new(ErrorKind::NoUpstream, what).retry_after(NO_CONFIG_RETRY_MS));
+            let message = "this daemon has no active configuration yet";
+            return Err(
+                Error::new(ErrorKind::NoUpstream, message).retry_after(NO_CONFIG_RETRY_AFTER_MS)
+            );
         }
         let name = header(SERVICE_HEADER);
         let service = config.doc.services.get(name).ok_or_else(|| {
-            Error::new(ErrorKind::NotFound, format!("{SERVICE_HEADER}: no service {name:?}"))
+            Error::new(ErrorKind::NotFound, format!("{SERVICE_HEADER}: unknown service {name:?}"))
         })?;
         let profile = config.doc.profiles.get(&service.profile);
         let deadline_ms = match header(DEADLINE_HEADER) {
             "" => DEFAULT_DEADLINE_MS,
-            text => text.parse().map_err(|_| wrong(DEADLINE_HEADER, text))?,
+            text => text.parse().map_err(|_| bad_header(DEADLINE_HEADER, text))?,
         };
         let deadline_us = now_us + deadline_ms.min(MAX_DEADLINE_MS) * 1_000;
         let repeatable = is_repeatable(request, &service.non_repeatable);
         let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
         let request_id = match header(REQUEST_ID_HEADER) {
             "" => format!("{}-{ticket}", self.instance),
-            id if id.len() > MAX_NAME_BYTES => return Err(wrong(REQUEST_ID_HEADER, "too long")),
+            id if id.len() > MAX_ID_BYTES => return Err(bad_header(REQUEST_ID_HEADER, "too long")),
             id => id.to_owned(),
         };
-        let naming = if repeatable {
+        let attempt_id = if repeatable {
             None
         } else {
-            naming(name, header(CALLER_HEADER), header(IDEMPOTENCY_HEADER), header(ATTEMPT_HEADER))?
+            attempt_id(
+                name,
+                header(CALLER_HEADER),
+                header(IDEMPOTENCY_HEADER),
+                header(ATTEMPT_HEADER),
+            )?
         };
         Ok(Call {
             service: name.to_owned(),
@@ -102,50 +114,58 @@
                 deadline_us,
                 repeatable,
             },
-            naming,
+            attempt_id,
         })
     }
 }
 
-/// Guards against answers whose end the caller cannot tell from a cut: HTTP/1.0 knows no chunks,
-/// so a broken body would look complete there.
-fn check_form(request: &Request<Incoming>) -> Result<(), Error> {
+/// Rejects requests that are not HTTP/1.1, and CONNECT.
+///
+/// HTTP/1.0 has no chunked encoding, so a caller could not distinguish a truncated response body
+/// from a complete one.
+fn check_protocol(request: &Request<Incoming>) -> Result<(), Error> {
     if request.version() != Version::HTTP_11 {
-        return Err(Error::new(ErrorKind::BadRequest, "HTTP/1.1 is needed"));
+        return Err(Error::new(ErrorKind::BadRequest, "HTTP/1.1 is required"));
     }
     if request.method() == Method::CONNECT {
-        return Err(Error::new(ErrorKind::BadRequest, "CONNECT is not served"));
+        return Err(Error::new(ErrorKind::BadRequest, "CONNECT is not supported"));
     }
     Ok(())
 }
 
-/// A request may be repeated when its method is idempotent by HTTP's own rules and its service
+/// Whether the request may be retried: its method is idempotent according to HTTP, and its service
 /// does not list it as non-repeatable.
 fn is_repeatable(request: &Request<Incoming>, non_repeatable: &[String]) -> bool {
-    let call = format!("{} {}", request.method(), request.uri().path());
-    request.method().is_idempotent() && !non_repeatable.iter().any(|start| call.starts_with(start))
+    let method_and_path = format!("{} {}", request.method(), request.uri().path());
+    request.method().is_idempotent()
+        && !non_repeatable.iter().any(|start| method_and_path.starts_with(start))
 }
 
-fn naming(service: &str, caller: &str, key: &str, attempt: &str) -> Result<Option<Naming>, Error> {
+fn attempt_id(
+    service: &str,
+    caller: &str,
+    key: &str,
+    attempt: &str,
+) -> Result<Option<AttemptId>, Error> {
     match (key, attempt) {
         ("", "" | "1") => Ok(None),
         ("", _) => Err(Error::new(
             ErrorKind::BadRequest,
-            format!("{ATTEMPT_HEADER}: a repeat needs {IDEMPOTENCY_HEADER}"),
+            format!("{ATTEMPT_HEADER}: a retry requires {IDEMPOTENCY_HEADER}"),
         )),
         (_, "") => Err(Error::new(
             ErrorKind::BadRequest,
-            format!("{IDEMPOTENCY_HEADER}: a non-repeatable request needs {ATTEMPT_HEADER}"),
+            format!("{IDEMPOTENCY_HEADER}: a non-repeatable request requires {ATTEMPT_HEADER}"),
         )),
-        (key, _) if key.len() > MAX_NAME_BYTES => Err(wrong(IDEMPOTENCY_HEADER, "too long")),
+        (key, _) if key.len() > MAX_ID_BYTES => Err(bad_header(IDEMPOTENCY_HEADER, "too long")),
         (key, text) => {
             let attempt = text.parse().ok().filter(|attempt| *attempt > 0);
-            let attempt = attempt.ok_or_else(|| wrong(ATTEMPT_HEADER, text))?;
-            Ok(Some(Naming { key: format!("{service}\n{caller}\n{key}"), attempt }))
+            let attempt = attempt.ok_or_else(|| bad_header(ATTEMPT_HEADER, text))?;
+            Ok(Some(AttemptId { key: format!("{service}\n{caller}\n{key}"), attempt }))
         }
     }
 }
 
-fn wrong(header: &str, value: &str) -> Error {
-    Error::new(ErrorKind::BadRequest, format!("{header}: {value:?}"))
+fn bad_header(header: &str, value: &str) -> Error {
+    Error::new(ErrorKind::BadRequest, format!("invalid {header}: {value:?}"))
 }
--- a/crates/agatesilld/src/relay/entry.rs
+++ b/crates/agatesilld/src/relay/entry.rs
@@ -1,4 +1,4 @@
-//! The entry for callers: one task for each connection, each within limits.
+//! Listener for callers: serves each connection in a task of its own and enforces limits on it.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -17,49 +17,50 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::body::AnswerBody;
-use super::guarded_io::GuardedIo;
+use super::body::ResponseBody;
+use super::write_timeout::WriteTimeoutStream;
 use crate::settings::EntrySettings;
 use crate::shared::Shared;
 
-/// Largest head of a request; hyper's own least value is 8 KB.
+/// Maximum size of a request head; hyper requires at least 8 KB.
 const MAX_HEAD_BYTES: usize = 32 << 10;
 
-/// Most header lines of a request.
+/// Maximum number of header lines of a request.
 const MAX_HEADERS: usize = 100;
 
-/// Pause after an accept that failed, as when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed `accept`, for example when file descriptors are exhausted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How long a connection beyond the limit may take to read its refusal.
-const REFUSAL_LIMIT: Duration = Duration::from_millis(100);
+/// Timeout for writing the response to a caller whose request head timed out.
+const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// When a connection beyond the limit may come back.
+/// Retry-After of a connection refused because of the connection limit.
 const REFUSED_RETRY_AFTER_MS: u32 = 1_000;
 
-/// Tokens and trackers of the entry.
+/// Cancellation tokens and task tracker of the listener.
 #[derive(Clone, Debug)]
-pub struct EntryStop {
-    /// Closes the listener and, after the exchange in flight, every connection.
+pub struct EntryShutdown {
+    /// Closes the listener, and each connection after its exchange in flight.
     pub drain: CancellationToken,
-    /// Cuts off what is still in flight.
-    pub cut: CancellationToken,
-    /// Connections and exchanges that outlive their connection.
+    /// Aborts the exchanges still in flight.
+    pub abort: CancellationToken,
+    /// Tasks of connections, and of exchanges that outlive their connection.
     pub tasks: TaskTracker,
 }
 
-/// Serves callers until `stop.drain` is cancelled and the last exchange has ended.
+/// Serves callers until `stop.drain` is cancelled and the last exchange has ended, or until
+/// `stop.abort` is cancelled.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: EntrySettings,
-    stop: EntryStop,
+    stop: EntryShutdown,
     shared: Shared,
     handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
-    let room = Arc::new(Semaphore::new(limits.max_connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     loop {
         let accepted = tokio::select! {
             () = stop.drain.cancelled() => break,
@@ -69,17 +70,17 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!(event = "accept_failed"; "{error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             shared.counters().connections_refused.add();
             refuse(&stream);
             continue;
         };
         let connection =
-            connection(stream, limits.clone(), stop.clone(), shared.clone(), handler.clone());
+            serve_connection(stream, limits.clone(), stop.clone(), shared.clone(), handler.clone());
         stop.tasks.spawn(async move {
             connection.await;
             drop(permit);
@@ -89,19 +90,21 @@
     stop.tasks.close();
     tokio::select! {
         () = stop.tasks.wait() => {}
-        () = stop.cut.cancelled() => {}
+        () = stop.abort.cancelled() => {}
     }
 }
 
-/// Guards against many idle connections: beyond the limit a connection costs one short write, no
-/// task and no buffers; it shows as 503 `overloaded`.
+/// Refuses a connection beyond the limit with a 503 `overloaded` response.
+///
+/// Such a connection costs one short write but no task and no buffers, so that large numbers of
+/// idle connections do not exhaust memory.
 fn refuse(stream: &TcpStream) {
     let error = Error::new(ErrorKind::Overloaded, "entry.max_connections reached")
         .retry_after(REFUSED_RETRY_AFTER_MS);
-    let _ = stream.try_write(&raw_answer("503 Service Unavailable", &error));
+    let _ = stream.try_write(&raw_response("503 Service Unavailable", &error));
 }
 
-fn raw_answer(status: &str, error: &Error) -> Vec<u8> {
+fn raw_response(status: &str, error: &Error) -> Vec<u8> {
     let body = serde_json::to_string(&ErrorBody::from(error)).unwrap_or_default();
     let length = body.len();
     format!(
@@ -111,21 +114,21 @@
     .into_bytes()
 }
 
-async fn connection<H, F>(
+async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: EntrySettings,
-    stop: EntryStop,
+    stop: EntryShutdown,
     shared: Shared,
     handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
-    let io = GuardedIo::new(stream, Duration::from_millis(limits.stall_ms));
+    let io = WriteTimeoutStream::new(stream, Duration::from_millis(limits.stall_ms));
     let service = service_fn(move |request| {
-        let answer = handler(request);
-        async move { Ok::<_, std::convert::Infallible>(answer.await) }
+        let response = handler(request);
+        async move { Ok::<_, std::convert::Infallible>(response.await) }
     });
     let mut connection = Builder::new()
         .timer(TokioTimer::new())
@@ -141,14 +144,15 @@
                 is_draining = true;
                 std::pin::Pin::new(&mut connection).graceful_shutdown();
             }
-            () = stop.cut.cancelled() => return,
+            () = stop.abort.cancelled() => return,
         }
     };
     if ended.is_err_and(|error| error.is_timeout()) {
         shared.counters().heads_timed_out.add();
-        let what = format!("no whole head within {} ms", limits.head_ms);
-        let answer = raw_answer("408 Request Timeout", &Error::new(ErrorKind::CallerTimeout, what));
+        let message = format!("request head incomplete after {} ms", limits.head_ms);
+        let response =
+            raw_response("408 Request Timeout", &Error::new(ErrorKind::CallerTimeout, message));
         let mut stream = connection.into_parts().io.into_inner().into_stream();
-        let _ = tokio::time::timeout(REFUSAL_LIMIT, stream.write_all(&answer)).await;
+        let _ = tokio::time::timeout(RESPONSE_WRITE_TIMEOUT, stream.write_all(&response)).await;
     }
 }
--- a/crates/agatesilld/src/relay/exchange.rs
+++ b/crates/agatesilld/src/relay/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with one upstream: what is sent, and what came of it.
+//! One request-response exchange with one upstream.
 
 use std::net::SocketAddr;
 
@@ -13,12 +13,13 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::body::UpstreamBody;
-use super::upstream::{Connection, Connections};
+use super::upstream::{Connection, ConnectionPool};
 
-/// Answers of a stated length up to this are taken in whole before the caller gets their head.
+/// Responses with a declared length up to this size are buffered completely before the caller
+/// receives the response head; longer and chunked ones are streamed.
 pub const STREAM_FROM_BYTES: u64 = 64 << 10;
 
-/// Headers that belong to one connection and are not passed on.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 7] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -29,24 +30,24 @@
     hyper::header::UPGRADE,
 ];
 
-/// How an exchange ended, or began to be answered.
+/// Result of an exchange.
 #[derive(Debug)]
-pub enum Reply {
-    /// A whole answer.
-    Whole(Parts, Bytes),
-    /// The head of an answer whose body is still to come over the connection.
-    Begun(Parts, Incoming, Connection),
-    /// The upstream says that it did not run the request.
+pub enum ExchangeResult {
+    /// The complete response.
+    Buffered(Parts, Bytes),
+    /// The head of a response whose body has yet to be read from the connection.
+    Streamed(Parts, Incoming, Connection),
+    /// The upstream reported that it did not run the request.
     Refused(Error),
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent(Error),
-    /// The exchange failed after a byte may have left.
+    /// The exchange failed after bytes of the request may have been sent.
     Broken(String),
-    /// No answer in time.
+    /// The upstream did not respond before the deadline.
     TimedOut,
 }
 
-/// Removes what belongs to one connection; true when the other end wants to close it.
+/// Removes hop-by-hop headers; returns whether the sender announced to close the connection.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) -> bool {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -55,36 +56,38 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::try_from(name.trim()).ok())
         .collect();
-    let closes = listed.iter().any(|name| name.as_str() == "close");
+    let closes_connection = listed.iter().any(|name| name.as_str() == "close");
     for name in HOP_BY_HOP.iter().chain(&listed) {
         headers.remove(name);
     }
-    closes
+    closes_connection
 }
 
-/// Sends `request` to `addr` and waits for the answer, or for its head when it is long.
+/// Sends `request` to `addr` and waits for the response, or for its head if the body is streamed.
+///
+/// A request that could not be sent over a reused connection is sent over another one.
 pub async fn exchange(
-    connections: &Connections,
+    connections: &ConnectionPool,
     addr: SocketAddr,
     mut request: Request<UpstreamBody>,
     deadline: Instant,
-) -> Reply {
+) -> ExchangeResult {
     loop {
-        let mut connection = match timeout_at(deadline, connections.take(addr)).await {
+        let mut connection = match timeout_at(deadline, connections.acquire(addr)).await {
             Ok(Ok(connection)) => connection,
-            Ok(Err(error)) => return Reply::NotSent(error),
-            Err(_) => return Reply::NotSent(too_late(addr)),
+            Ok(Err(error)) => return ExchangeResult::NotSent(error),
+            Err(_) => return ExchangeResult::NotSent(too_late(addr)),
         };
         match attempt(&mut connection, request, deadline).await {
-            Attempt::Answer(answer) => return receive(answer, connection, deadline).await,
-            Attempt::NotSent(unsent) if connection.is_reused => request = *unsent,
-            Attempt::NotSent(_) => {
-                let what = format!("{addr}: closed before the request left");
-                return Reply::NotSent(Error::new(ErrorKind::NoUpstream, what));
+            SendResult::Answer(response) => return receive(response, connection, deadline).await,
+            SendResult::NotSent(unsent) if connection.is_reused => request = *unsent,
+            SendResult::NotSent(_) => {
+                let message = format!("{addr}: connection closed before the request was sent");
+                return ExchangeResult::NotSent(Error::new(ErrorKind::NoUpstream, message));
             }
-            Attempt::TooLate => return Reply::NotSent(too_late(addr)),
-            Attempt::Broken(what) => return Reply::Broken(what),
-            Attempt::TimedOut => return Reply::TimedOut,
+            SendResult::TooLate => return ExchangeResult::NotSent(too_late(addr)),
+            SendResult::Broken(message) => return ExchangeResult::Broken(message),
+            SendResult::TimedOut => return ExchangeResult::TimedOut,
         }
     }
 }
@@ -93,7 +96,7 @@
     Error::new(ErrorKind::TooLate, format!("{addr}: no free connection before the deadline"))
 }
 
-enum Attempt {
+enum SendResult {
     Answer(Box<hyper::Response<Incoming>>),
     NotSent(Box<Request<UpstreamBody>>),
     TooLate,
@@ -101,72 +104,77 @@
     TimedOut,
 }
 
-/// Guards against a false `not run`: only a request that the library hands back unserialised
-/// counts as not sent. A write that failed half-way is broken.
+/// Sends the request over `connection` and waits for the response head.
+///
+/// Only a request that hyper returns unserialised counts as not sent, because such an error
+/// reports the request as not run. A write that failed midway counts as broken.
 async fn attempt(
     connection: &mut Connection,
     request: Request<UpstreamBody>,
     deadline: Instant,
-) -> Attempt {
-    let Some(sender) = connection.sender() else { return Attempt::NotSent(Box::new(request)) };
+) -> SendResult {
+    let Some(sender) = connection.sender() else { return SendResult::NotSent(Box::new(request)) };
     match timeout_at(deadline, sender.ready()).await {
         Ok(Ok(())) => {}
-        Ok(Err(_)) => return Attempt::NotSent(Box::new(request)),
-        Err(_) => return Attempt::TooLate,
+        Ok(Err(_)) => return SendResult::NotSent(Box::new(request)),
+        Err(_) => return SendResult::TooLate,
     }
     match timeout_at(deadline, sender.try_send_request(request)).await {
-        Ok(Ok(answer)) => Attempt::Answer(Box::new(answer)),
+        Ok(Ok(response)) => SendResult::Answer(Box::new(response)),
         Ok(Err(mut error)) => match error.take_message() {
-            Some(unsent) => Attempt::NotSent(Box::new(unsent)),
-            None => Attempt::Broken(error.into_error().to_string()),
+            Some(unsent) => SendResult::NotSent(Box::new(unsent)),
+            None => SendResult::Broken(error.into_error().to_string()),
         },
-        Err(_) => Attempt::TimedOut,
+        Err(_) => SendResult::TimedOut,
     }
 }
 
 async fn receive(
-    answer: Box<hyper::Response<Incoming>>,
+    response: Box<hyper::Response<Incoming>>,
     connection: Connection,
     deadline: Instant,
-) -> Reply {
-    let (mut parts, body) = answer.into_parts();
-    let Some(length) = stated_length(&parts, &body) else {
-        return Reply::Broken("an answer without a stated length cannot be told whole".to_owned());
+) -> ExchangeResult {
+    let (mut parts, body) = response.into_parts();
+    let Some(length) = declared_length(&parts, &body) else {
+        return ExchangeResult::Broken(
+            "response has neither a content length nor chunked encoding".to_owned(),
+        );
     };
     if length.is_none_or(|bytes| bytes > STREAM_FROM_BYTES) {
-        return Reply::Begun(parts, body, connection);
+        return ExchangeResult::Streamed(parts, body, connection);
     }
-    let whole = Limited::new(body, STREAM_FROM_BYTES as usize).collect();
-    let body = match timeout_at(deadline, whole).await {
+    let buffered = Limited::new(body, STREAM_FROM_BYTES as usize).collect();
+    let body = match timeout_at(deadline, buffered).await {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(error)) => return Reply::Broken(error.to_string()),
-        Err(_) => return Reply::TimedOut,
+        Ok(Err(error)) => return ExchangeResult::Broken(error.to_string()),
+        Err(_) => return ExchangeResult::TimedOut,
     };
     if let Some(refusal) = refusal(&parts, &body) {
         if !strip_hop_by_hop(&mut parts.headers) {
-            connection.keep();
+            connection.return_to_pool();
         }
-        return Reply::Refused(refusal);
+        return ExchangeResult::Refused(refusal);
     }
-    if !closes(&parts) {
-        connection.keep();
+    if !closes_connection(&parts) {
+        connection.return_to_pool();
     }
-    Reply::Whole(parts, body)
+    ExchangeResult::Buffered(parts, body)
 }
 
-/// Whether the upstream will close the connection after this answer.
-pub fn closes(parts: &Parts) -> bool {
+/// Whether the upstream will close the connection after this response.
+pub fn closes_connection(parts: &Parts) -> bool {
     let listed = parts.headers.get_all(CONNECTION).iter();
     listed
         .filter_map(|value| value.to_str().ok())
         .any(|value| value.split(',').any(|name| name.trim().eq_ignore_ascii_case("close")))
 }
 
-/// The answer's length; `Some(None)` when it is chunked.
+/// The declared length of the response body: `Some(None)` if it is chunked, `None` if only the
+/// close of the connection ends it.
 ///
-/// Guards against a short answer that looks whole: a body that only the close of the connection
-/// ends shows no difference between an upstream that finished and one that died.
-fn stated_length(parts: &Parts, body: &Incoming) -> Option<Option<u64>> {
+/// A body that ends with the connection is rejected because a truncated response of a crashed
+/// upstream could not be distinguished from a complete one.
+fn declared_length(parts: &Parts, body: &Incoming) -> Option<Option<u64>> {
     if body.is_end_stream() {
         return Some(Some(0));
     }
@@ -178,7 +186,7 @@
     is_chunked.then_some(None)
 }
 
-/// The upstream's own word that it did not run the request.
+/// Parses a response by which the upstream reports that it did not run the request.
 fn refusal(parts: &Parts, body: &[u8]) -> Option<Error> {
     if !matches!(parts.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
         return None;
--- a/crates/agatesilld/src/relay/lookup.rs
+++ b/crates/agatesilld/src/relay/lookup.rs
@@ -1,4 +1,4 @@
-//! Asking the other daemons what became of a non-repeatable request.
+//! Queries the other daemons for the record of a non-repeatable request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,28 +12,29 @@
 use tokio::sync::Semaphore;
 use tokio_util::codec::Framed;
 
-use super::record::{Claim, KeptAnswer};
+use super::record::{Claim, RecordedResponse};
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// How long one daemon may take to answer. A paused one is as good as dead for this question.
-const ASK_LIMIT: Duration = Duration::from_millis(300);
+/// Timeout for the reply of one daemon. A paused daemon is treated like a crashed one.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Questions at once, so that a wave of re-sends opens a bounded number of connections.
-const MOST_AT_ONCE: usize = 32;
+/// Maximum number of concurrent lookups, which bounds the connections that a burst of retries
+/// opens.
+const MAX_CONCURRENT_LOOKUPS: usize = 32;
 
-/// Asks the members; clones share one state.
+/// Client for record lookups at the other daemons; clones share one state.
 #[derive(Clone, Debug)]
-pub struct Lookup {
+pub struct RecordLookup {
     hello: Hello,
     members: Arc<[SocketAddr]>,
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
-impl Lookup {
-    /// Prepares to ask the members of `settings`.
+impl RecordLookup {
+    /// Creates a client for the other members of `settings`.
     pub fn new(settings: &Settings) -> Self {
-        let others = settings.peers.members.iter().filter(|(name, _)| **name != settings.instance);
+        let peers = settings.peers.members.iter().filter(|(name, _)| **name != settings.instance);
         Self {
             hello: Hello {
                 protocol_version: PROTOCOL_VERSION,
@@ -41,32 +42,34 @@
                 zone: settings.zone.clone(),
                 for_calls: false,
             },
-            members: others.map(|(_, addr)| *addr).collect(),
-            room: Arc::new(Semaphore::new(MOST_AT_ONCE)),
+            members: peers.map(|(_, addr)| *addr).collect(),
+            permits: Arc::new(Semaphore::new(MAX_CONCURRENT_LOOKUPS)),
         }
     }
 
-    /// What the other daemons know; one that does not answer in time knows nothing.
-    pub async fn ask(&self, key: &str, fingerprint: u64) -> Claim {
-        let Ok(_room) = self.room.acquire().await else { return Claim::NoRecord };
-        let wanted = RecordWanted { key: key.to_owned(), fingerprint };
-        let answers = self.members.iter().map(|addr| {
-            let wanted = wanted.clone();
+    /// Queries all other daemons and combines their replies; a daemon that does not reply in time
+    /// counts as [`Claim::NoRecord`].
+    pub async fn query_peers(&self, key: &str, fingerprint: u64) -> Claim {
+        let Ok(_permit) = self.permits.acquire().await else { return Claim::NoRecord };
+        let query = RecordWanted { key: key.to_owned(), fingerprint };
+        let responses = self.members.iter().map(|addr| {
+            let query = query.clone();
             async move {
-                let answer = tokio::time::timeout(ASK_LIMIT, self.ask_one(*addr, wanted)).await;
-                answer.ok().flatten().map_or(Claim::NoRecord, claim)
+                let response =
+                    tokio::time::timeout(QUERY_TIMEOUT, self.query_peer(*addr, query)).await;
+                response.ok().flatten().map_or(Claim::NoRecord, claim_from_wire)
             }
         });
-        join_all(answers).await.into_iter().fold(Claim::NoRecord, Claim::combine)
+        join_all(responses).await.into_iter().fold(Claim::NoRecord, Claim::combine)
     }
 
-    async fn ask_one(&self, addr: SocketAddr, wanted: RecordWanted) -> Option<RecordKnown> {
+    async fn query_peer(&self, addr: SocketAddr, query: RecordWanted) -> Option<RecordKnown> {
         let stream = TcpStream::connect(addr).await.ok()?;
         let _ = stream.set_nodelay(true);
-        let mut link = Framed::new(stream, FrameCodec::default());
-        link.feed(frame(Body::Hello(self.hello.clone()))).await.ok()?;
-        link.send(frame(Body::RecordWanted(wanted))).await.ok()?;
-        while let Some(Ok(received)) = link.next().await {
+        let mut connection = Framed::new(stream, FrameCodec::default());
+        connection.feed(frame(Body::Hello(self.hello.clone()))).await.ok()?;
+        connection.send(frame(Body::RecordWanted(query))).await.ok()?;
+        while let Some(Ok(received)) = connection.next().await {
             if let Some(Body::RecordKnown(known)) = received.body {
                 return Some(known);
             }
@@ -75,33 +78,36 @@
     }
 }
 
-/// Answers a peer's question from this daemon's records.
-pub fn answer_lookup(shared: &Shared, wanted: &RecordWanted) -> RecordKnown {
-    let (state, answer) = match shared.claim_record(&wanted.key, wanted.fingerprint) {
+/// Answers a peer's lookup from this daemon's records.
+pub fn answer_lookup(shared: &Shared, query: &RecordWanted) -> RecordKnown {
+    let (state, response) = match shared.claim_record(&query.key, query.fingerprint) {
         Claim::NoRecord => (RecordState::NoRecord, None),
         Claim::Running => (RecordState::Running, None),
         Claim::Ran(None) => (RecordState::Ran, None),
-        Claim::Ran(answer) => (RecordState::Answered, answer),
+        Claim::Ran(response) => (RecordState::Answered, response),
         Claim::Unknown => (RecordState::Unknown, None),
         Claim::HandedOver => (RecordState::HandedOver, None),
         Claim::Granted => (RecordState::Granted, None),
         Claim::Mismatch => (RecordState::Mismatch, None),
     };
-    let answer =
-        answer.unwrap_or(KeptAnswer { status: 0, headers: Vec::new(), body: bytes::Bytes::new() });
+    let response = response.unwrap_or(RecordedResponse {
+        status: 0,
+        headers: Vec::new(),
+        body: bytes::Bytes::new(),
+    });
     RecordKnown {
         state: state as i32,
-        status: u32::from(answer.status),
-        headers: answer
+        status: u32::from(response.status),
+        headers: response
             .headers
             .into_iter()
             .map(|(name, value)| RecordHeader { name, value })
             .collect(),
-        body: answer.body,
+        body: response.body,
     }
 }
 
-fn claim(known: RecordKnown) -> Claim {
+fn claim_from_wire(known: RecordKnown) -> Claim {
     match known.state() {
         RecordState::NoRecord => Claim::NoRecord,
         RecordState::Running => Claim::Running,
@@ -110,9 +116,9 @@
         RecordState::HandedOver => Claim::HandedOver,
         RecordState::Granted => Claim::Granted,
         RecordState::Mismatch => Claim::Mismatch,
-        RecordState::Answered => Claim::Ran(Some(KeptAnswer {
+        RecordState::Answered => Claim::Ran(Some(RecordedResponse {
             status: known.status as u16,
-            headers: known.headers.into_iter().map(|one| (one.name, one.value)).collect(),
+            headers: known.headers.into_iter().map(|header| (header.name, header.value)).collect(),
             body: known.body,
         })),
     }
--- a/crates/agatesilld/src/relay/record.rs
+++ b/crates/agatesilld/src/relay/record.rs
@@ -1,63 +1,65 @@
-//! What became of non-repeatable requests, so that a re-sent one never runs twice.
+//! Records of the outcomes of non-repeatable requests, so that a retried one never runs twice.
 //!
-//! Load pattern: a caller that timed out re-sends, and the balancer hands the repeat to another
-//! daemon. Only the first attempt of an idempotency key may run where it lands; that makes a
-//! record, and the record is the only permission to run the key. A later attempt runs only when
-//! the record says that the earlier one did not run, and takes the permission away with it
-//! ([`Claim::Granted`]). Lost records, dead daemons and unheard answers therefore lose permission
-//! and never double it. The module knows no network or clock; times are milliseconds on the
-//! daemon's own clock.
+//! A caller that timed out retries, and the load balancer may send the retry to another daemon.
+//! Only the first attempt of an idempotency key may run at the daemon that receives it. It creates
+//! a record there, and the record is the only permission to run the key. A later attempt runs only
+//! if the record shows that the earlier one did not run, and takes over the permission
+//! ([`Claim::Granted`]). Lost records, crashed daemons and lost replies can thus lose the
+//! permission but never duplicate it. The module uses neither network nor clock; times are
+//! milliseconds of the daemon's own clock.
 
 use std::collections::{HashMap, VecDeque};
 
 use bytes::Bytes;
 
-/// Records held at once. At 100 bytes or so each beside the answers they cost a few megabytes.
+/// Maximum number of records. At about 100 bytes each without the responses, they take a few
+/// megabytes.
 pub const MAX_RECORDS: usize = 50_000;
 
-/// Answers larger than this are recorded as run, without the answer.
-pub const MAX_ANSWER_BYTES: usize = 64 << 10;
+/// Maximum size of a recorded response body. A request with a larger one is recorded as run,
+/// without its response.
+pub const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
-/// An answer kept for repeats.
+/// A response recorded for retries.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeptAnswer {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: Vec<(String, Bytes)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// How a recorded request ended.
+/// Outcome of a recorded request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RunOutcome {
-    /// It ran, and this is its answer.
-    Answered(KeptAnswer),
-    /// It ran; its answer was too large to keep.
+    /// The request ran and returned this response.
+    Answered(RecordedResponse),
+    /// The request ran; its response was too large to record.
     Ran,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// No byte of it left.
+    /// The request did not run.
     NotRun,
 }
 
-/// What a later attempt is told.
+/// Result of looking up the record of an idempotency key for an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Claim {
-    /// No record here.
+    /// The daemon has no record of the key.
     NoRecord,
-    /// It waits or runs.
+    /// An earlier attempt is queued or running.
     Running,
-    /// It ran; the answer is kept or was too large.
-    Ran(Option<KeptAnswer>),
-    /// It may have run.
+    /// The request ran; its response is absent if it was too large to record.
+    Ran(Option<RecordedResponse>),
+    /// The request may have run.
     Unknown,
-    /// The permission went to another attempt, which another daemon knows of.
+    /// The permission to run was passed to another attempt, whose record may be at another daemon.
     HandedOver,
-    /// It did not run, and the permission to run it is now the asker's.
+    /// The request did not run, and this attempt now has the permission to run it.
     Granted,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Mismatch,
 }
 
@@ -76,8 +78,9 @@
 }
 
 impl Claim {
-    /// Of the words of two daemons the one that allows less; what ran or runs outranks all, and a
-    /// permission that went elsewhere outranks none that is still held.
+    /// Returns the more restrictive of the results of two daemons. A request that ran or is running
+    /// takes precedence over everything else. [`Claim::HandedOver`] takes precedence only over
+    /// [`Claim::NoRecord`], since the other daemon may still hold the permission.
     pub fn combine(self, other: Self) -> Self {
         let rank = |claim: &Self| match claim {
             Self::NoRecord => 0,
@@ -93,7 +96,7 @@
     }
 }
 
-/// The records of one daemon.
+/// The records of non-repeatable requests held by one daemon.
 #[derive(Debug)]
 pub struct Records {
     records: HashMap<String, Record>,
@@ -106,7 +109,8 @@
 }
 
 impl Records {
-    /// Settled records are kept for `keep_ms`, their answers within `max_bytes`.
+    /// Creates an empty set of records. Settled records are kept for `keep_ms`, and the responses
+    /// of all of them together take at most `max_bytes`.
     pub fn new(keep_ms: u64, max_bytes: usize) -> Self {
         Self {
             records: HashMap::new(),
@@ -119,52 +123,52 @@
         }
     }
 
-    /// Records held.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no record is held.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Records dropped before their time.
+    /// Number of records evicted before `keep_ms` had passed.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Takes a first attempt in: [`Claim::Granted`] makes a record, anything else is what an
-    /// attempt that used the key before has left.
+    /// Begins a first attempt. Creates a record and returns [`Claim::Granted`] unless an earlier
+    /// attempt left a record of the key that forbids the run, which is then returned.
     pub fn begin(&mut self, key: &str, fingerprint: u64, now_ms: u64) -> Claim {
         match self.claim(key, fingerprint, now_ms) {
-            Claim::NoRecord | Claim::Granted => self.open(key, fingerprint),
+            Claim::NoRecord | Claim::Granted => self.insert_running(key, fingerprint),
             earlier => return earlier,
         }
         Claim::Granted
     }
 
-    /// Opens a record for an attempt that was granted the permission here or by a peer; false when
-    /// another attempt has a record here.
+    /// Creates a record for a later attempt that was granted the permission here or by a peer.
+    /// Returns false if another attempt has a record here.
     pub fn adopt(&mut self, key: &str, fingerprint: u64) -> bool {
         let state = self.records.get(key).map(|record| &record.state);
         if !matches!(state, None | Some(State::HandedOver)) {
             return false;
         }
-        self.open(key, fingerprint);
+        self.insert_running(key, fingerprint);
         true
     }
 
-    fn open(&mut self, key: &str, fingerprint: u64) {
+    fn insert_running(&mut self, key: &str, fingerprint: u64) {
         self.generation += 1;
         let record = Record { fingerprint, state: State::Running, generation: self.generation };
         self.records.insert(key.to_owned(), record);
     }
 
-    /// Answers a later attempt, here or at a peer.
+    /// Looks up the record for a later attempt at this daemon or at a peer.
     ///
-    /// Guards against two later attempts that both run: the permission is handed over once, in one
-    /// step; if the word of it is lost, nobody has it.
+    /// The permission to run is handed over atomically and only once, so that no two later attempts
+    /// can both run. If the reply with the permission is lost, no attempt has it.
     pub fn claim(&mut self, key: &str, fingerprint: u64, now_ms: u64) -> Claim {
         self.expire(now_ms);
         let Some(record) = self.records.get_mut(key) else { return Claim::NoRecord };
@@ -176,7 +180,7 @@
             State::HandedOver => Claim::HandedOver,
             State::Settled(RunOutcome::Unknown) => Claim::Unknown,
             State::Settled(RunOutcome::Ran) => Claim::Ran(None),
-            State::Settled(RunOutcome::Answered(answer)) => Claim::Ran(Some(answer.clone())),
+            State::Settled(RunOutcome::Answered(response)) => Claim::Ran(Some(response.clone())),
             State::Settled(RunOutcome::NotRun) => {
                 record.state = State::HandedOver;
                 Claim::Granted
@@ -184,18 +188,21 @@
         }
     }
 
-    /// Records how a running request ended.
-    pub fn settle(&mut self, key: &str, how: RunOutcome, now_ms: u64) {
+    /// Records the outcome of a running request. Evicts the oldest settled records while the limits
+    /// on their number or size are exceeded.
+    pub fn settle(&mut self, key: &str, outcome: RunOutcome, now_ms: u64) {
         let Some(record) = self.records.get_mut(key) else { return };
         if !matches!(record.state, State::Running) {
             return;
         }
-        let how = match how {
-            RunOutcome::Answered(answer) if answer.body.len() > MAX_ANSWER_BYTES => RunOutcome::Ran,
-            how => how,
+        let outcome = match outcome {
+            RunOutcome::Answered(response) if response.body.len() > MAX_RESPONSE_BYTES => {
+                RunOutcome::Ran
+            }
+            outcome => outcome,
         };
-        self.kept_bytes += kept_bytes(&how);
-        record.state = State::Settled(how);
+        self.kept_bytes += kept_bytes(&outcome);
+        record.state = State::Settled(outcome);
         self.settled.push_back((now_ms, key.to_owned(), record.generation));
         self.expire(now_ms);
         while self.kept_bytes > self.max_bytes || self.records.len() > MAX_RECORDS {
@@ -219,19 +226,19 @@
         let Some((_, key, generation)) = self.settled.pop_front() else { return false };
         let is_same = self.records.get(&key).is_some_and(|record| record.generation == generation);
         if is_same && let Some(record) = self.records.remove(&key) {
-            if let State::Settled(how) = &record.state {
-                self.kept_bytes -= kept_bytes(how);
+            if let State::Settled(outcome) = &record.state {
+                self.kept_bytes -= kept_bytes(outcome);
             }
         }
         true
     }
 }
 
-fn kept_bytes(how: &RunOutcome) -> usize {
-    match how {
-        RunOutcome::Answered(answer) => {
-            let headers = answer.headers.iter().map(|(name, value)| name.len() + value.len());
-            answer.body.len() + headers.sum::<usize>()
+fn kept_bytes(outcome: &RunOutcome) -> usize {
+    match outcome {
+        RunOutcome::Answered(response) => {
+            let headers = response.headers.iter().map(|(name, value)| name.len() + value.len());
+            response.body.len() + headers.sum::<usize>()
         }
         _ => 0,
     }
--- a/crates/agatesilld/src/relay/upstream.rs
+++ b/crates/agatesilld/src/relay/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: kept open, counted against a budget that all daemons share.
+//! Pool of persistent connections to upstreams, limited by a budget that all daemons share.
 
 use std::collections::HashMap;
 use std::fmt::Display;
@@ -14,20 +14,20 @@
 
 use super::body::UpstreamBody;
 
-/// When a caller may come back after an upstream could not be reached.
+/// Retry-After if an upstream could not be reached.
 const CONNECT_RETRY_AFTER_MS: u32 = 100;
 
 /// The connections to all upstreams; clones share one state.
 #[derive(Clone, Debug)]
-pub struct Connections {
+pub struct ConnectionPool {
     inner: Arc<Inner>,
 }
 
 #[derive(Debug)]
 struct Inner {
     state: Mutex<State>,
-    connect_limit: Duration,
-    total_per_upstream: usize,
+    connect_timeout: Duration,
+    max_per_upstream: usize,
 }
 
 #[derive(Debug)]
@@ -43,34 +43,35 @@
     freed: Arc<Notify>,
 }
 
-/// One connection on loan. Dropped without [`Connection::keep`], it is closed.
+/// A connection checked out of the pool. It is closed if dropped without
+/// [`Connection::return_to_pool`].
 ///
-/// Guards against an answer that reaches another caller: a connection whose exchange was cut,
-/// cancelled or timed out may still receive the rest of that answer, so only a whole exchange
-/// puts it back.
+/// Only a complete exchange returns its connection. After an exchange that was interrupted,
+/// cancelled or timed out, the rest of its response may still arrive, and would otherwise be
+/// delivered to another caller.
 #[derive(Debug)]
 pub struct Connection {
     addr: SocketAddr,
     sender: Option<SendRequest<UpstreamBody>>,
-    home: Arc<Inner>,
-    is_kept: bool,
-    /// Whether it has carried an exchange before.
+    pool: Arc<Inner>,
+    is_returned: bool,
+    /// Whether the connection has carried an exchange before.
     pub is_reused: bool,
 }
 
-impl Connections {
-    /// `total_per_upstream` connections to each upstream are shared by all live daemons.
-    pub fn new(total_per_upstream: usize, connect_limit: Duration) -> Self {
-        let state = State { upstreams: HashMap::new(), budget: total_per_upstream.max(1) };
-        let inner = Inner { state: Mutex::new(state), connect_limit, total_per_upstream };
+impl ConnectionPool {
+    /// Creates a pool. All live daemons share `max_per_upstream` connections to each upstream.
+    pub fn new(max_per_upstream: usize, connect_timeout: Duration) -> Self {
+        let state = State { upstreams: HashMap::new(), budget: max_per_upstream.max(1) };
+        let inner = Inner { state: Mutex::new(state), connect_timeout, max_per_upstream };
         Self { inner: Arc::new(inner) }
     }
 
-    /// Divides the budget among `live_daemons`, this one included; idle connections beyond the
-    /// share are closed at once, busy ones when their exchange ends.
+    /// Divides the budget among `live_daemons`, including this one. Idle connections beyond the
+    /// share are closed immediately, busy ones when their exchange ends.
     pub fn share_among(&self, live_daemons: usize) {
         let mut state = self.inner.lock();
-        let budget = (self.inner.total_per_upstream / live_daemons.max(1)).max(1);
+        let budget = (self.inner.max_per_upstream / live_daemons.max(1)).max(1);
         if budget == state.budget {
             return;
         }
@@ -83,15 +84,16 @@
         }
     }
 
-    /// Open connections to all upstreams.
+    /// Number of open connections to all upstreams.
     pub fn open(&self) -> usize {
         self.inner.lock().upstreams.values().map(|upstream| upstream.open).sum()
     }
 
-    /// A kept connection, a new one, or one that another exchange frees; waits for room.
+    /// Checks out an idle connection or opens a new one. Waits for another exchange to release its
+    /// connection while the budget is used up.
     ///
-    /// An error means that no byte of the request has left.
-    pub async fn take(&self, addr: SocketAddr) -> Result<Connection, Error> {
+    /// An error means that no byte of the request was sent.
+    pub async fn acquire(&self, addr: SocketAddr) -> Result<Connection, Error> {
         loop {
             let freed = {
                 let mut state = self.inner.lock();
@@ -99,7 +101,7 @@
                 let upstream = state.upstreams.entry(addr).or_default();
                 while let Some(sender) = upstream.idle.pop() {
                     if !sender.is_closed() {
-                        return Ok(self.lend(addr, Some(sender)));
+                        return Ok(self.checkout(addr, Some(sender)));
                     }
                     upstream.open -= 1;
                 }
@@ -115,24 +117,24 @@
                 Some(freed) => freed.await,
             }
         }
-        let mut loan = self.lend(addr, None);
-        loan.sender = Some(self.connect(addr).await?);
-        Ok(loan)
+        let mut connection = self.checkout(addr, None);
+        connection.sender = Some(self.connect(addr).await?);
+        Ok(connection)
     }
 
-    fn lend(&self, addr: SocketAddr, sender: Option<SendRequest<UpstreamBody>>) -> Connection {
+    fn checkout(&self, addr: SocketAddr, sender: Option<SendRequest<UpstreamBody>>) -> Connection {
         let is_reused = sender.is_some();
-        Connection { addr, sender, home: self.inner.clone(), is_kept: false, is_reused }
+        Connection { addr, sender, pool: self.inner.clone(), is_returned: false, is_reused }
     }
 
     async fn connect(&self, addr: SocketAddr) -> Result<SendRequest<UpstreamBody>, Error> {
-        let refused = |what: &dyn Display| {
-            Error::new(ErrorKind::NoUpstream, format!("{addr}: {what}"))
+        let refused = |message: &dyn Display| {
+            Error::new(ErrorKind::NoUpstream, format!("{addr}: {message}"))
                 .retry_after(CONNECT_RETRY_AFTER_MS)
         };
-        let stream = tokio::time::timeout(self.inner.connect_limit, TcpStream::connect(addr))
+        let stream = tokio::time::timeout(self.inner.connect_timeout, TcpStream::connect(addr))
             .await
-            .map_err(|_| refused(&"no connection in time"))?
+            .map_err(|_| refused(&"connect timed out"))?
             .map_err(|error| refused(&error))?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) =
@@ -149,32 +151,32 @@
 }
 
 impl Connection {
-    /// The sending half.
+    /// The sender of requests; `None` only while the connection is not yet established.
     pub fn sender(&mut self) -> Option<&mut SendRequest<UpstreamBody>> {
         self.sender.as_mut()
     }
 
-    /// Puts the connection back after a whole exchange.
-    pub fn keep(mut self) {
+    /// Returns the connection to the pool after a complete exchange.
+    pub fn return_to_pool(mut self) {
         let Some(sender) = self.sender.take() else { return };
-        let mut state = self.home.lock();
+        let mut state = self.pool.lock();
         let budget = state.budget;
         let Some(upstream) = state.upstreams.get_mut(&self.addr) else { return };
         if upstream.open <= budget && !sender.is_closed() {
             upstream.idle.push(sender);
             upstream.freed.notify_one();
-            self.is_kept = true;
+            self.is_returned = true;
         }
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        if self.is_kept {
+        if self.is_returned {
             return;
         }
         self.sender = None;
-        let mut state = self.home.lock();
+        let mut state = self.pool.lock();
         if let Some(upstream) = state.upstreams.get_mut(&self.addr) {
             upstream.open = upstream.open.saturating_sub(1);
             upstream.freed.notify_one();
--- a/crates/agatesilld/src/relay/guarded_io.rs
+++ b/crates/agatesilld/src/relay/write_timeout.rs
@@ -1,4 +1,4 @@
-//! A caller's stream with a bound on how long a write may stall.
+//! TCP stream of a caller with a timeout on stalled writes.
 
 use std::future::Future;
 use std::io;
@@ -10,26 +10,26 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// A stream whose writes fail when the reader takes nothing for a while.
+/// A stream whose writes fail if the peer reads nothing for a given time.
 ///
-/// Guards against slow readers: a caller that stops reading would otherwise hold its answer's
-/// buffers, its upstream connection and its slot for as long as it likes.
+/// Otherwise a caller that stops reading would hold the buffers of its response, its upstream
+/// connection and its slot indefinitely.
 #[derive(Debug)]
-pub struct GuardedIo {
+pub struct WriteTimeoutStream {
     stream: TcpStream,
-    stall_limit: Duration,
+    stall_timeout: Duration,
     timer: Pin<Box<Sleep>>,
     is_stalled: bool,
 }
 
-impl GuardedIo {
-    /// Fails writes that make no progress for `stall_limit`.
-    pub fn new(stream: TcpStream, stall_limit: Duration) -> Self {
-        let timer = Box::pin(sleep(stall_limit));
-        Self { stream, stall_limit, timer, is_stalled: false }
+impl WriteTimeoutStream {
+    /// Wraps a stream so that writes without progress fail after `stall_timeout`.
+    pub fn new(stream: TcpStream, stall_timeout: Duration) -> Self {
+        let timer = Box::pin(sleep(stall_timeout));
+        Self { stream, stall_timeout, timer, is_stalled: false }
     }
 
-    /// The stream itself.
+    /// Returns the underlying stream.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
@@ -45,14 +45,14 @@
         }
         if !self.is_stalled {
             self.is_stalled = true;
-            self.timer.as_mut().reset(Instant::now() + self.stall_limit);
+            self.timer.as_mut().reset(Instant::now() + self.stall_timeout);
         }
         ready!(self.timer.as_mut().poll(context));
-        Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, "the caller reads too slowly")))
+        Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, "write to the caller timed out")))
     }
 }
 
-impl AsyncRead for GuardedIo {
+impl AsyncRead for WriteTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -62,7 +62,7 @@
     }
 }
 
-impl AsyncWrite for GuardedIo {
+impl AsyncWrite for WriteTimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/agatesilld/tests/relay.rs
+++ b/crates/agatesilld/tests/relay.rs
@@ -1,5 +1,5 @@
-//! The request path with real daemons in this process, judged by the upstreams' books and by what
-//! callers receive.
+//! Tests the request path with real daemons in this process, and verifies it by the audit logs of
+//! the upstreams and by the responses that callers receive.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,32 +15,32 @@
 
 const SIZES: HarnessSizes = HarnessSizes { daemons: 2, upstreams: 3, slots: 4, service_us: 1_000 };
 
-type Outcome = Result<(), Box<dyn std::error::Error>>;
+type TestResult = Result<(), Box<dyn std::error::Error>>;
 
-struct World {
-    rig: Harness,
+struct RelayHarness {
+    environment: Harness,
     caller: Caller,
-    stops: Vec<CancellationToken>,
+    shutdown_tokens: Vec<CancellationToken>,
 }
 
-impl World {
+impl RelayHarness {
     async fn start(
         sizes: HarnessSizes,
         adjust: impl Fn(&mut Settings),
     ) -> Result<Self, Box<dyn std::error::Error>> {
-        let rig = Harness::start(sizes, adjust).await?;
-        let mut stops = Vec::new();
-        for settings in &rig.settings {
+        let environment = Harness::start(sizes, adjust).await?;
+        let mut shutdown_tokens = Vec::new();
+        for settings in &environment.settings {
             let stop = CancellationToken::new();
             start(settings, &stop)?;
-            stops.push(stop);
+            shutdown_tokens.push(stop);
         }
-        rig.configure().await?;
-        Ok(Self { rig, caller: Caller::default(), stops })
+        environment.configure().await?;
+        Ok(Self { environment, caller: Caller::default(), shutdown_tokens })
     }
 
     fn entry(&self, daemon: usize) -> SocketAddr {
-        self.rig.settings[daemon].entry.addr
+        self.environment.settings[daemon].entry.addr
     }
 
     async fn send(&self, daemon: usize, ask: &CallerRequest) -> CallOutcome {
@@ -48,21 +48,21 @@
     }
 
     fn ran(&self, id: &str) -> u32 {
-        self.rig.ran().get(id).copied().unwrap_or(0)
+        self.environment.ran().get(id).copied().unwrap_or(0)
     }
 
     fn set_faults(&self, faults: &UpstreamFaults) {
-        self.rig.upstreams.iter().for_each(|one| one.set_faults(faults.clone()));
+        self.environment.upstreams.iter().for_each(|upstream| upstream.set_faults(faults.clone()));
     }
 }
 
-impl Drop for World {
+impl Drop for RelayHarness {
     fn drop(&mut self) {
-        self.stops.iter().for_each(CancellationToken::cancel);
+        self.shutdown_tokens.iter().for_each(CancellationToken::cancel);
     }
 }
 
-fn read(id: &str) -> CallerRequest {
+fn read_request(id: &str) -> CallerRequest {
     CallerRequest {
         id: id.to_owned(),
         service: SERVICE.to_owned(),
@@ -77,13 +77,13 @@
     }
 }
 
-fn decide(id: &str, attempt: u32) -> CallerRequest {
+fn decision_request(id: &str, attempt: u32) -> CallerRequest {
     CallerRequest {
         method: "POST".to_owned(),
         path: NON_REPEATABLE_PATH.to_owned(),
         body: "buyer=7".to_owned(),
         attempt,
-        ..read(id)
+        ..read_request(id)
     }
 }
 
@@ -96,217 +96,226 @@
     }
 }
 
-/// A broker's call times out just as the answer is ready and is sent again; the balancer hands it
-/// to another daemon. The broker must see the first decision, not a second one.
+/// A broker's call times out just as the response is ready, and the load balancer sends the retry
+/// to another daemon. The broker must receive the first decision, not a second one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_repeat_at_another_daemon_gets_the_first_answer_whole() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
-    let first = world.send(0, &decide("d1", 1)).await;
+async fn retry_at_another_daemon_receives_the_first_response() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
+    let first = harness.send(0, &decision_request("d1", 1)).await;
     assert_eq!(kind(&first), "answer");
-    assert_eq!(world.send(1, &decide("d1", 2)).await, first);
-    assert_eq!(world.send(0, &decide("d1", 3)).await, first);
-    assert_eq!(world.ran("d1"), 1);
+    assert_eq!(harness.send(1, &decision_request("d1", 2)).await, first);
+    assert_eq!(harness.send(0, &decision_request("d1", 3)).await, first);
+    assert_eq!(harness.ran("d1"), 1);
     Ok(())
 }
 
-/// The re-sent call overtakes the first one, which sits in a slow network: no daemon knows the
-/// first attempt yet. The second must not run, since the first still may.
+/// A retry overtakes the first attempt, which is delayed in the network, so that no daemon has a
+/// record of it yet. The retry must not run, since the first attempt may still run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_repeat_that_overtakes_its_first_attempt_does_not_run() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
-    assert_eq!(kind(&world.send(1, &decide("d1", 2)).await), "outcome_unknown");
-    assert_eq!(world.ran("d1"), 0);
-    assert_eq!(kind(&world.send(0, &decide("d1", 1)).await), "answer");
-    assert_eq!(kind(&world.send(1, &decide("d1", 3)).await), "answer");
-    assert_eq!(world.ran("d1"), 1);
+async fn retry_that_overtakes_its_first_attempt_does_not_run() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
+    assert_eq!(kind(&harness.send(1, &decision_request("d1", 2)).await), "outcome_unknown");
+    assert_eq!(harness.ran("d1"), 0);
+    assert_eq!(kind(&harness.send(0, &decision_request("d1", 1)).await), "answer");
+    assert_eq!(kind(&harness.send(1, &decision_request("d1", 3)).await), "answer");
+    assert_eq!(harness.ran("d1"), 1);
     Ok(())
 }
 
-/// The first attempt was refused as not run, by upstreams that are full. Its repeat at another
-/// daemon may run, and only one of two repeats.
+/// Overloaded upstreams refuse the first attempt as not run. Its retry may run at another daemon,
+/// but only one of two retries may.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_repeat_of_one_that_did_not_run_runs_once() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
-    world.set_faults(&UpstreamFaults { overloaded: true, ..UpstreamFaults::default() });
-    assert!(world.send(0, &decide("d1", 1)).await.says_not_run());
-    world.set_faults(&UpstreamFaults::default());
-    let (second, third) = (decide("d1", 2), decide("d1", 3));
-    let (one, other) = tokio::join!(world.send(1, &second), world.send(0, &third));
-    assert!(kind(&one) == "answer" || kind(&other) == "answer", "{one:?} {other:?}");
-    assert_eq!(world.ran("d1"), 1);
+async fn retries_of_a_request_that_did_not_run_run_it_once() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
+    harness.set_faults(&UpstreamFaults { overloaded: true, ..UpstreamFaults::default() });
+    assert!(harness.send(0, &decision_request("d1", 1)).await.says_not_run());
+    harness.set_faults(&UpstreamFaults::default());
+    let (second, third) = (decision_request("d1", 2), decision_request("d1", 3));
+    let (second_heard, third_heard) =
+        tokio::join!(harness.send(1, &second), harness.send(0, &third));
+    assert!(
+        kind(&second_heard) == "answer" || kind(&third_heard) == "answer",
+        "{second_heard:?} {third_heard:?}"
+    );
+    assert_eq!(harness.ran("d1"), 1);
     Ok(())
 }
 
-/// The upstream runs the decision and dies before it answers. Nobody can know whether it ran:
-/// the caller hears so, and a repeat never runs it again.
+/// The upstream runs the decision and crashes before it responds, so that no daemon can know
+/// whether the request ran. The caller must receive `outcome_unknown`, and no retry may run the
+/// request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_lost_answer_is_unknown_and_never_run_again() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
-    world.set_faults(&UpstreamFaults { lose_answer_percent: 100, ..UpstreamFaults::default() });
-    assert_eq!(kind(&world.send(0, &decide("d1", 1)).await), "outcome_unknown");
-    world.set_faults(&UpstreamFaults::default());
-    assert_eq!(kind(&world.send(1, &decide("d1", 2)).await), "outcome_unknown");
-    assert_eq!(kind(&world.send(0, &decide("d1", 3)).await), "outcome_unknown");
-    assert_eq!(world.ran("d1"), 1);
+async fn request_with_a_lost_response_is_unknown_and_never_run_again() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
+    harness.set_faults(&UpstreamFaults { lose_answer_percent: 100, ..UpstreamFaults::default() });
+    assert_eq!(kind(&harness.send(0, &decision_request("d1", 1)).await), "outcome_unknown");
+    harness.set_faults(&UpstreamFaults::default());
+    assert_eq!(kind(&harness.send(1, &decision_request("d1", 2)).await), "outcome_unknown");
+    assert_eq!(kind(&harness.send(0, &decision_request("d1", 3)).await), "outcome_unknown");
+    assert_eq!(harness.ran("d1"), 1);
     Ok(())
 }
 
-/// The caller hangs up while its decision runs. The run goes on, and the repeat at another daemon
-/// gets its answer, also while the store is out.
+/// The caller disconnects while its decision runs. The run must continue, and a retry at another
+/// daemon must receive its response, even during an outage of the store.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_hangs_up_finds_the_answer_later() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
-    world.rig.store.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
-    world.set_faults(&UpstreamFaults { service_us: 200_000, ..UpstreamFaults::default() });
-    let hasty = Caller::default();
-    let first = decide("d1", 1);
-    let sent = hasty.send(world.entry(0), &first);
+async fn retry_after_a_disconnect_receives_the_response() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
+    harness.environment.store.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
+    harness.set_faults(&UpstreamFaults { service_us: 200_000, ..UpstreamFaults::default() });
+    let impatient = Caller::default();
+    let first = decision_request("d1", 1);
+    let sent = impatient.send(harness.entry(0), &first);
     let _ = tokio::time::timeout(Duration::from_millis(50), sent).await;
-    drop(hasty);
-    assert_eq!(kind(&world.send(1, &decide("d1", 2)).await), "answer");
-    assert_eq!(world.ran("d1"), 1);
+    drop(impatient);
+    assert_eq!(kind(&harness.send(1, &decision_request("d1", 2)).await), "answer");
+    assert_eq!(harness.ran("d1"), 1);
     Ok(())
 }
 
-/// Two requests under one idempotency key: the second must not get the first one's answer.
+/// Two different requests use the same idempotency key. The second must not receive the response to
+/// the first.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_key_used_for_another_request_is_a_conflict() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
-    assert_eq!(kind(&world.send(0, &decide("d1", 1)).await), "answer");
-    let other = CallerRequest { body: "buyer=8".to_owned(), ..decide("d1", 2) };
-    assert_eq!(kind(&world.send(1, &other).await), "conflict");
+async fn idempotency_key_of_another_request_is_a_conflict() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
+    assert_eq!(kind(&harness.send(0, &decision_request("d1", 1)).await), "answer");
+    let other = CallerRequest { body: "buyer=8".to_owned(), ..decision_request("d1", 2) };
+    assert_eq!(kind(&harness.send(1, &other).await), "conflict");
     Ok(())
 }
 
-/// Upstreams die in the middle of an answer, short or long. The caller must see a broken exchange
-/// or a typed failure, never half an answer that looks whole.
+/// Upstreams crash in the middle of a short or long response. The caller must see a broken exchange
+/// or a typed failure, never a truncated response that looks complete.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_answer_cut_off_is_never_short_but_complete() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
-    world.set_faults(&UpstreamFaults { die_mid_answer_percent: 100, ..UpstreamFaults::default() });
+async fn truncated_response_never_looks_complete() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
+    harness
+        .set_faults(&UpstreamFaults { die_mid_answer_percent: 100, ..UpstreamFaults::default() });
     for (nth, path) in ["/limits", "/bytes/1000", "/bytes/300000"].iter().enumerate() {
-        let ask = CallerRequest { path: (*path).to_owned(), ..read(&format!("r{nth}")) };
-        let heard = world.send(0, &ask).await;
+        let ask = CallerRequest { path: (*path).to_owned(), ..read_request(&format!("r{nth}")) };
+        let heard = harness.send(0, &ask).await;
         assert!(matches!(kind(&heard), "broken" | "upstream_failed"), "{path}: {heard:?}");
     }
-    world.set_faults(&UpstreamFaults { no_length: true, ..UpstreamFaults::default() });
-    assert_ne!(kind(&world.send(0, &read("r9")).await), "wrong");
+    harness.set_faults(&UpstreamFaults { no_length: true, ..UpstreamFaults::default() });
+    assert_ne!(kind(&harness.send(0, &read_request("r9")).await), "wrong");
     Ok(())
 }
 
-/// Long bodies pass both ways whole, and the connections stay in use afterwards.
+/// Long request and response bodies must arrive complete, and the connections must remain usable.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn long_bodies_are_streamed_whole() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
+async fn long_bodies_are_streamed_completely() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
     for nth in 0..5 {
         let body = "b".repeat(200_000);
         let path = "/bytes/1000000".to_owned();
-        let ask =
-            CallerRequest { method: "PUT".to_owned(), path, body, ..read(&format!("r{nth}")) };
-        assert_eq!(kind(&world.send(0, &ask).await), "answer");
+        let ask = CallerRequest { method: "PUT".to_owned(), path, body, ..read_request(&format!("r{nth}")) };
+        assert_eq!(kind(&harness.send(0, &ask).await), "answer");
     }
     Ok(())
 }
 
-/// Callers hang up on reads all the time. Each exchange is cancelled at the upstream, its
-/// connection is not used again, and others keep getting their own answers.
+/// Many callers disconnect during a request. Each exchange must be cancelled at the upstream and
+/// its connection must not be reused, so that other callers still receive their own responses.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn callers_that_hang_up_free_their_slots() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
-    world.set_faults(&UpstreamFaults { service_us: 500_000, ..UpstreamFaults::default() });
+async fn disconnected_callers_release_their_slots() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
+    harness.set_faults(&UpstreamFaults { service_us: 500_000, ..UpstreamFaults::default() });
     for nth in 0..30 {
-        let hasty = Caller::default();
-        let ask = read(&format!("h{nth}"));
-        let sent = hasty.send(world.entry(0), &ask);
+        let impatient = Caller::default();
+        let ask = read_request(&format!("h{nth}"));
+        let sent = impatient.send(harness.entry(0), &ask);
         let _ = tokio::time::timeout(Duration::from_millis(20), sent).await;
     }
-    world.set_faults(&UpstreamFaults::default());
+    harness.set_faults(&UpstreamFaults::default());
     for nth in 0..50 {
-        let heard = world.send(0, &read(&format!("r{nth}"))).await;
+        let heard = harness.send(0, &read_request(&format!("r{nth}"))).await;
         assert_eq!(kind(&heard), "answer", "{heard:?}");
     }
     wait_until(|| async {
-        world.rig.upstreams.iter().map(|one| one.audit().cancelled).sum::<u64>() > 0
+        harness.environment.upstreams.iter().map(|upstream| upstream.audit().cancelled).sum::<u64>()
+            > 0
     })
     .await?;
     Ok(())
 }
 
-/// An upstream refuses because it is leaving. The request goes elsewhere at once, and from then on
-/// neither this daemon nor its peer sends it anything.
+/// An upstream refuses a request because it is leaving. The request must be sent to another
+/// upstream immediately, and afterwards neither this daemon nor its peer may send requests to the
+/// leaving one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_leaving_upstream_gets_no_new_work_from_any_daemon() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
+async fn leaving_upstream_receives_no_new_requests_from_any_daemon() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
     let leaving = UpstreamFaults { leaving: true, ..UpstreamFaults::default() };
-    world.rig.upstreams[0].set_faults(leaving);
+    harness.environment.upstreams[0].set_faults(leaving);
     for nth in 0..40 {
-        let heard = world.send(0, &read(&format!("r{nth}"))).await;
+        let heard = harness.send(0, &read_request(&format!("r{nth}"))).await;
         assert_eq!(kind(&heard), "answer", "{heard:?}");
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let refused = world.rig.upstreams[0].audit().refused;
+    let refused = harness.environment.upstreams[0].audit().refused;
     assert!(refused >= 1);
     for nth in 0..40 {
-        world.send(nth % 2, &read(&format!("s{nth}"))).await;
+        harness.send(nth % 2, &read_request(&format!("s{nth}"))).await;
     }
-    assert_eq!(world.rig.upstreams[0].audit().refused, refused);
+    assert_eq!(harness.environment.upstreams[0].audit().refused, refused);
     Ok(())
 }
 
-/// A daemon is stopped as planned while long requests run. All of them finish.
+/// A daemon is stopped in a planned way while long requests run. All of them must complete.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_planned_stop_cuts_nothing_off() -> Outcome {
-    let world = World::start(SIZES, |_| {}).await?;
-    world.set_faults(&UpstreamFaults { service_us: 400_000, ..UpstreamFaults::default() });
+async fn planned_stop_completes_the_requests_in_flight() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |_| {}).await?;
+    harness.set_faults(&UpstreamFaults { service_us: 400_000, ..UpstreamFaults::default() });
     let sent: Vec<_> = (0..4)
         .map(|nth| {
-            let (caller, entry) = (Caller::default(), world.entry(0));
-            tokio::spawn(async move { caller.send(entry, &read(&format!("r{nth}"))).await })
+            let (caller, entry) = (Caller::default(), harness.entry(0));
+            tokio::spawn(async move { caller.send(entry, &read_request(&format!("r{nth}"))).await })
         })
         .collect();
-    wait_until(|| async { world.rig.ran().len() == sent.len() }).await?;
-    world.stops[0].cancel();
-    for one in sent {
-        assert_eq!(kind(&one.await?), "answer");
+    wait_until(|| async { harness.environment.ran().len() == sent.len() }).await?;
+    harness.shutdown_tokens[0].cancel();
+    for request in sent {
+        assert_eq!(kind(&request.await?), "answer");
     }
-    wait_until(|| async { TcpStream::connect(world.entry(0)).await.is_err() }).await?;
+    wait_until(|| async { TcpStream::connect(harness.entry(0)).await.is_err() }).await?;
     Ok(())
 }
 
-/// Eight daemons' worth of callers arrive at once: the connections to one upstream stay within
-/// the budget that all daemons share.
+/// 200 requests arrive at two daemons at once. The connections to one upstream must stay within the
+/// budget that all daemons share.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn connections_stay_within_the_shared_budget() -> Outcome {
+async fn connections_stay_within_the_shared_budget() -> TestResult {
     let sizes = HarnessSizes { upstreams: 1, slots: 64, ..SIZES };
-    let world = World::start(sizes, |settings| settings.upstreams.connections = 6).await?;
+    let harness = RelayHarness::start(sizes, |settings| settings.upstreams.connections = 6).await?;
     let sent: Vec<_> = (0..200)
         .map(|nth| {
-            let (caller, entry) = (world.caller.clone(), world.entry(nth % 2));
-            tokio::spawn(async move { caller.send(entry, &read(&format!("r{nth}"))).await })
+            let (caller, entry) = (harness.caller.clone(), harness.entry(nth % 2));
+            tokio::spawn(async move { caller.send(entry, &read_request(&format!("r{nth}"))).await })
         })
         .collect();
-    for one in sent {
-        assert_eq!(kind(&one.await?), "answer");
+    for request in sent {
+        assert_eq!(kind(&request.await?), "answer");
     }
-    assert!(world.rig.upstreams[0].audit().most_connections <= 6);
+    assert!(harness.environment.upstreams[0].audit().most_connections <= 6);
     Ok(())
 }
 
-async fn raw(entry: SocketAddr, head: &[u8]) -> std::io::Result<String> {
+async fn send_raw(entry: SocketAddr, head: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(entry).await?;
     stream.write_all(head).await?;
-    let mut answer = Vec::new();
-    let read = tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut answer));
-    let _ = read.await;
-    Ok(String::from_utf8_lossy(&answer).into_owned())
+    let mut response = Vec::new();
+    let read_to_end =
+        tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut response));
+    let _ = read_to_end.await;
+    Ok(String::from_utf8_lossy(&response).into_owned())
 }
 
-/// Hostile heads: malformed, oversized, of the wrong version, and one that never ends. Each gets
-/// a typed answer and its connection is closed.
+/// Invalid request heads: malformed, oversized, of the wrong HTTP version, incomplete, or for an
+/// unknown service. Each must receive a typed response and its connection must be closed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn hostile_heads_get_typed_answers() -> Outcome {
-    let world = World::start(SIZES, |settings| settings.entry.head_ms = 300).await?;
-    let entry = world.entry(0);
+async fn invalid_heads_receive_typed_responses() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |settings| settings.entry.head_ms = 300).await?;
+    let entry = harness.entry(0);
     let big = format!("GET / HTTP/1.1\r\nhost: x\r\nx-big: {}\r\n\r\n", "y".repeat(100_000));
     let many: String = (0..200).map(|nth| format!("h{nth}: v\r\n")).collect();
     let cases: [(&[u8], &str); 6] = [
@@ -321,64 +330,65 @@
         ),
     ];
     for (head, expected) in cases {
-        let answer = raw(entry, head).await?;
-        assert!(answer.contains(expected), "expected {expected}, got {answer:.200}");
+        let response = send_raw(entry, head).await?;
+        assert!(response.contains(expected), "expected {expected}, got {response:.200}");
     }
     Ok(())
 }
 
-fn upload(length: &str) -> String {
+fn upload_request(length: &str) -> String {
     format!(
         "PUT /limits HTTP/1.1\r\nhost: x\r\nx-agatesill-service: {SERVICE}\r\n\
          connection: close\r\ncontent-length: {length}\r\n\r\nbegun"
     )
 }
 
-/// Hostile bodies: one that stops coming, and one that is larger than any may be.
+/// Invalid request bodies: one that stalls, and one that exceeds the maximum size. Each must
+/// receive a typed response, and neither request may run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn hostile_bodies_get_typed_answers() -> Outcome {
-    let world = World::start(SIZES, |settings| settings.entry.body_ms = 300).await?;
-    let slow = raw(world.entry(0), upload("1000").as_bytes()).await?;
+async fn invalid_bodies_receive_typed_responses() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |settings| settings.entry.body_ms = 300).await?;
+    let slow = send_raw(harness.entry(0), upload_request("1000").as_bytes()).await?;
     assert!(slow.contains("caller_timeout") && slow.contains("\"was_run\":\"no\""), "{slow}");
-    let large = raw(world.entry(0), upload("900000000").as_bytes()).await?;
+    let large = send_raw(harness.entry(0), upload_request("900000000").as_bytes()).await?;
     assert!(large.contains("too_large"), "{large}");
-    assert!(world.rig.ran().is_empty());
+    assert!(harness.environment.ran().is_empty());
     Ok(())
 }
 
-/// A crowd of idle connections fills the entry. Newcomers are told so at once, the idle ones are
-/// closed after their time, and then callers are served again.
+/// Idle connections use up the connection limit. Further connections must be refused immediately,
+/// the idle ones must be closed after the head timeout, and callers must then be served again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn idle_connections_are_capped_and_closed() -> Outcome {
-    let world = World::start(SIZES, |settings| {
+async fn idle_connections_are_limited_and_closed() -> TestResult {
+    let harness = RelayHarness::start(SIZES, |settings| {
         settings.entry.max_connections = 8;
         settings.entry.head_ms = 1_000;
     })
     .await?;
     let mut idle = Vec::new();
     for _ in 0..8 {
-        idle.push(TcpStream::connect(world.entry(0)).await?);
+        idle.push(TcpStream::connect(harness.entry(0)).await?);
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let refused = raw(world.entry(0), b"").await?;
+    let refused = send_raw(harness.entry(0), b"").await?;
     assert!(refused.contains("overloaded"), "{refused}");
-    wait_until(|| async { kind(&world.send(0, &read("r1")).await) == "answer" }).await?;
+    wait_until(|| async { kind(&harness.send(0, &read_request("r1")).await) == "answer" }).await?;
     Ok(())
 }
 
-/// A caller asks for a long answer and never reads it. After the stall limit its connection is
-/// closed and the upstream's slot is free again.
+/// A caller requests a long response and never reads it. After the stall timeout its connection
+/// must be closed and its slot at the upstream released.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_does_not_read_is_cut_off() -> Outcome {
+async fn caller_that_does_not_read_is_disconnected() -> TestResult {
     let sizes = HarnessSizes { upstreams: 1, slots: 1, ..SIZES };
-    let world = World::start(sizes, |settings| settings.entry.stall_ms = 300).await?;
-    let mut stream = TcpStream::connect(world.entry(0)).await?;
+    let harness = RelayHarness::start(sizes, |settings| settings.entry.stall_ms = 300).await?;
+    let mut stream = TcpStream::connect(harness.entry(0)).await?;
     let head = format!(
         "GET /bytes/60000000 HTTP/1.1\r\nhost: x\r\nx-agatesill-service: {SERVICE}\r\n\
          x-agatesill-deadline-ms: 60000\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await?;
-    wait_until(|| async { world.rig.upstreams[0].audit().most_at_once > 0 }).await?;
-    wait_until(|| async { kind(&world.send(0, &read("r1")).await) == "answer" }).await?;
+    wait_until(|| async { harness.environment.upstreams[0].audit().most_at_once > 0 }).await?;
+    wait_until(|| async { kind(&harness.send(0, &read_request("r1")).await) == "answer" }).await?;
     Ok(())
 }
--- a/crates/agatesilld/tests/request_faults.rs
+++ b/crates/agatesilld/tests/request_faults.rs
@@ -1,4 +1,5 @@
-//! Ten fixed seeds of the request faults; `agatesill-bench request-faults --seeds 1-200` runs more.
+//! Runs ten fixed seeds of random request faults; `agatesill-bench request-faults --seeds 1-200`
+//! runs more.
 
 use std::path::Path;
 
@@ -13,16 +14,16 @@
     }
 }
 
-/// Daemons die or pause, the store is out, upstreams die mid-answer, lose answers or leave, and
-/// callers re-send to whichever daemon the balancer picks. No decision runs twice, no `not run`
-/// is false, and no wrong or short answer looks whole.
+/// Daemons crash or pause, the store is unavailable, upstreams crash during a response, lose
+/// responses or leave, and callers retry at the daemon that the load balancer picks. No decision
+/// may run twice, no `not run` may be false, and no wrong or truncated response may look complete.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn decisions_run_at_most_once_under_faults() {
     run(1..=5).await;
 }
 
-/// The same for five more seeds, beside the first.
+/// The same with five more seeds, in parallel to the first five.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn decisions_run_at_most_once_under_other_faults() {
+async fn decisions_run_at_most_once_under_faults_of_more_seeds() {
     run(6..=10).await;
 }
