--- a/crates/agatesilld/src/fleet/metrics.rs
+++ b/crates/agatesilld/src/fleet/metrics.rs
@@ -35,7 +35,7 @@
     /// Creates the instruments that are written to.
     pub fn new() -> Result<Self, opentelemetry_sdk::error::OTelSdkError> {
         let instruments = Instruments::new()?;
-        let times = |name, what| instruments.seconds(name, &BUCKETS_S, what);
+        let times = |name, what| instruments.seconds_histogram(name, &BUCKETS_S, what);
         let requests =
             times("http.server.request.duration", "Time to answer a caller, by call and status");
         let commits = times("agatesill.commit.duration", "Time to store records, by outcome");
--- a/crates/agatesilld/src/instruments.rs
+++ b/crates/agatesilld/src/instruments.rs
@@ -33,7 +33,7 @@
     }
 
     /// Creates a histogram of seconds with the given upper bounds of buckets.
-    pub fn seconds(
+    pub fn seconds_histogram(
         &self,
         name: &'static str,
         bounds_s: &[f64],
--- a/crates/agatesilld/src/metrics.rs
+++ b/crates/agatesilld/src/metrics.rs
@@ -35,7 +35,7 @@
             .with_unit("{request}")
             .with_description("Requests by service and outcome")
             .build();
-        let duration = instruments.seconds(
+        let duration = instruments.seconds_histogram(
             "http.server.request.duration",
             &DURATION_BUCKETS,
             "Time from a request's head to its answer's head",
