--- a/crates/agatesilld/src/admin.rs
+++ b/crates/agatesilld/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: health, metrics, configuration, jobs and status.
+//! Admin HTTP interface: health, metrics, configuration, jobs and status.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,21 +17,21 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
+use crate::authorization;
 use crate::cells::{CellCall, now_ms};
 use crate::degraded::degraded;
 use crate::explain::explain;
 use crate::metrics::Metrics;
-use crate::rights;
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// Path of explanations; kind and identity follow.
+/// Path prefix of explanations, followed by kind and id.
 const EXPLAIN_PATH: &str = "/v1/explain/";
 
-/// Path of rollbacks; the version follows.
+/// Path prefix of rollbacks, followed by the version.
 const ROLLBACK_PATH: &str = "/v1/config/rollback/";
 
-/// The operators' interface; clones share one state.
+/// The admin interface; clones share one state.
 #[derive(Clone, Debug)]
 pub struct Admin {
     instance: String,
@@ -47,7 +47,7 @@
 }
 
 impl Admin {
-    /// Prepares the interface; `drain` begins a planned stop.
+    /// Creates the interface. Its drain call cancels `drain`, which starts a graceful shutdown.
     pub fn new(
         settings: &Settings,
         store: Store,
@@ -60,7 +60,7 @@
             instance: settings.instance.clone(),
             zone: settings.zone.clone(),
             config: ConfigStore::new(store.clone())
-                .with_declared_capacity(crate::config::floor(settings)),
+                .with_declared_capacity(crate::config::declared_capacity(settings)),
             store,
             members: Arc::new(settings.peers.members.clone()),
             shared,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Serves operators until `stop` is cancelled.
+    /// Serves requests until `stop` is cancelled.
     pub async fn run(self, listener: TcpListener, stop: CancellationToken) {
         serve(listener, stop, move |request| {
             let admin = self.clone();
@@ -85,7 +85,7 @@
         let mut operator = String::new();
         if request.method() != Method::GET {
             let action = format!("{} {path}", request.method());
-            match rights::operator(&self.tokens, request.headers(), &action) {
+            match authorization::operator(&self.tokens, request.headers(), &action) {
                 Ok(name) => operator = name,
                 Err(error) => return respond::<()>(Err(error)),
             }
@@ -132,18 +132,18 @@
         if self.shared.is_stopping() {
             return Err(Error::new(ErrorKind::Stopping, "draining"));
         }
-        // Guards against a ready daemon that answers `not_found` for a known service, in the moment
-        // between a version's arrival and the deciding thread's acting by it.
+        // Guards against a ready daemon that answers `not_found` for a known service, between the
+        // arrival of a configuration and its use by the decision thread.
         if self.shared.served_version() == 0 {
-            let what = "no configuration is in force here yet";
-            return Err(Error::new(ErrorKind::NoUpstream, what).retry_after(500));
+            let message = "no configuration is active yet";
+            return Err(Error::new(ErrorKind::NoUpstream, message).retry_after(500));
         }
         Ok("ready")
     }
 
     fn status(&self) -> StatusReport {
-        // Guards against a deadlock, which showed as an admin address that answers nothing any
-        // more: a guard taken within the literal lives until its end, and `degraded` locks again.
+        // Guards against a deadlock after which the admin address stops answering: a lock guard
+        // taken inside the struct literal lives until its end, and `degraded` takes the same lock.
         let peers = self.shared.peers().clone();
         let services = self.shared.services().values().cloned().collect();
         let cells = self.shared.cells().values().cloned().collect();
@@ -164,8 +164,8 @@
         operator: String,
     ) -> Result<VersionedConfig, Error> {
         let mut change: ConfigChange = read_json(request.into_body()).await?;
-        sign(&mut change, operator);
-        self.made("change", &change, self.config.change(&change, now_ms()).await)
+        set_author(&mut change, operator);
+        self.finish_change("change", &change, self.config.change(&change, now_ms()).await)
     }
 
     async fn rollback(
@@ -177,12 +177,12 @@
         let to =
             to.parse().map_err(|_| Error::new(ErrorKind::BadRequest, format!("version {to:?}")))?;
         let mut change: ConfigChange = read_json(request.into_body()).await?;
-        sign(&mut change, operator);
-        self.made("rollback", &change, self.config.rollback(to, &change, now_ms()).await)
+        set_author(&mut change, operator);
+        self.finish_change("rollback", &change, self.config.rollback(to, &change, now_ms()).await)
     }
 
-    /// Logs the outcome of a change and puts what it made in force.
-    fn made(
+    /// Logs the outcome of a change and activates an accepted configuration.
+    fn finish_change(
         &self,
         action: &str,
         change: &ConfigChange,
@@ -190,11 +190,11 @@
     ) -> Result<VersionedConfig, Error> {
         let (operator, operation_id) = (change.author.as_str(), change.operation_id.as_str());
         match &outcome {
-            Ok(made) => {
+            Ok(accepted) => {
                 log::info!(event = "config_accepted", action = action, operator = operator,
-                    operation_id = operation_id, config_version = made.version; "");
-                self.shared.set_accepted_version(made.version);
-                crate::config::apply(&self.shared, made.clone());
+                    operation_id = operation_id, config_version = accepted.version; "");
+                self.shared.set_accepted_version(accepted.version);
+                crate::config::apply(&self.shared, accepted.clone());
             }
             Err(error) => log::warn!(event = "config_not_accepted", action = action,
                 operator = operator, operation_id = operation_id,
@@ -232,18 +232,19 @@
     fn offer(&self, call: CellCall) -> Result<(), Error> {
         self.cells.try_send(call).map_err(|_| {
             self.shared.counters().cell_ring_full.add();
-            Error::new(ErrorKind::RingFull, "ring to the batch duty").retry_after(200)
+            Error::new(ErrorKind::RingFull, "the ring to the cell manager is full").retry_after(200)
         })
     }
 }
 
-/// The name that the call was admitted under goes into the history, not one that its body claims.
-fn sign(change: &mut ConfigChange, operator: String) {
-    if operator != rights::UNNAMED || change.author.is_empty() {
+/// Sets the author of a change for the history to the operator name of the call, which overrides
+/// the author given in the body. A call without an operator name keeps the given author.
+fn set_author(change: &mut ConfigChange, operator: String) {
+    if operator != authorization::UNNAMED || change.author.is_empty() {
         change.author = operator;
     }
 }
 
 fn stopped() -> Error {
-    Error::new(ErrorKind::Stopping, "batch duty")
+    Error::new(ErrorKind::Stopping, "the cell manager has stopped")
 }
--- a/crates/agatesilld/src/rights.rs
+++ b/crates/agatesilld/src/authorization.rs
@@ -1,8 +1,8 @@
-//! Who may change what on the operators' address.
+//! Authorization on the admin address.
 //!
-//! Reading is free: the address is on loopback unless set otherwise. Whatever changes something
-//! carries an operator's name and, where settings name tokens, that operator's token. Without
-//! tokens the name is believed, and an absent one is logged as such.
+//! Reading needs no authorization: the address is normally on loopback. Every change carries an
+//! operator name and, if the settings contain tokens, that operator's token. Without tokens the
+//! name is accepted as given, and a missing one is logged as `unnamed`.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 use hyper::header::HeaderMap;
 use subtle::ConstantTimeEq;
 
-/// Name given to a call that carries none, where names are not required.
+/// Operator name of a call without one, where names are not required.
 pub const UNNAMED: &str = "unnamed";
 
-/// Longest name of an operator.
-const NAME_BYTES: usize = 64;
+/// Maximum length of an operator name.
+const MAX_NAME_BYTES: usize = 64;
 
-/// The operator who may make a change, or a refusal that is also logged.
+/// Returns the operator who is authorized to make a change, or an error that has been logged.
 pub fn operator(
     tokens: &BTreeMap<String, String>,
     headers: &HeaderMap,
@@ -26,7 +26,7 @@
     let name = header(headers, OPERATOR_HEADER).unwrap_or(UNNAMED);
     let outcome = check(tokens, headers, name);
     if let Err(error) = &outcome {
-        let shown: String = name.chars().take(NAME_BYTES).collect();
+        let shown: String = name.chars().take(MAX_NAME_BYTES).collect();
         log::warn!(event = "operator_refused", operator = shown.as_str(), action = action;
             "{error}");
     }
@@ -34,23 +34,23 @@
 }
 
 fn check(tokens: &BTreeMap<String, String>, headers: &HeaderMap, name: &str) -> Result<(), Error> {
-    if name.is_empty() || name.len() > NAME_BYTES {
-        let what = format!("{OPERATOR_HEADER}: 1 to {NAME_BYTES} bytes");
-        return Err(Error::new(ErrorKind::Forbidden, what));
+    if name.is_empty() || name.len() > MAX_NAME_BYTES {
+        let message = format!("{OPERATOR_HEADER}: 1 to {MAX_NAME_BYTES} bytes");
+        return Err(Error::new(ErrorKind::Forbidden, message));
     }
     if tokens.is_empty() {
         return Ok(());
     }
     let given = header(headers, TOKEN_HEADER).unwrap_or_default();
-    // Guards against guessing a token byte by byte from the time of refusals: the comparison takes
-    // as long wherever the first difference is, and an unknown name is compared as well.
+    // Guards against guessing a token byte by byte from response times: the comparison takes
+    // constant time, and the token of an unknown name is compared as well.
     let expected = tokens.get(name).map_or("", String::as_str);
     let is_equal: bool = expected.as_bytes().ct_eq(given.as_bytes()).into();
     if is_equal && !expected.is_empty() {
         return Ok(());
     }
-    let what = format!("operator {name}: {TOKEN_HEADER} is missing or wrong");
-    Err(Error::new(ErrorKind::Forbidden, what))
+    let message = format!("operator {name}: {TOKEN_HEADER} is missing or wrong");
+    Err(Error::new(ErrorKind::Forbidden, message))
 }
 
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
--- a/crates/agatesilld/src/cells/forward.rs
+++ b/crates/agatesilld/src/cells/forward.rs
@@ -1,4 +1,4 @@
-//! Calls about jobs to the other daemons, over the peer protocol.
+//! Forwards calls about jobs to the other daemons, over the peer protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,19 +20,21 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// How long a peer may take to answer; a little longer than it lets a caller wait for a commit.
-const PEER_LIMIT: Duration = Duration::from_millis(2_500);
+/// Timeout of one call to a peer, slightly longer than the time for which the peer lets a caller
+/// wait for a commit.
+const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Calls to peers under way at once; a wave of submissions opens no more connections than that.
-const MOST_AT_ONCE: usize = 32;
+/// Maximum number of concurrent calls to peers, which bounds the connections that a burst of
+/// submissions opens.
+const MAX_CONCURRENT_CALLS: usize = 32;
 
-/// Asks the other daemons; clones share one state.
+/// Client of the other daemons; clones share one state.
 #[derive(Clone)]
 pub(super) struct Forwarder {
     hello: Hello,
     members: Arc<BTreeMap<String, SocketAddr>>,
     shared: Shared,
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
 impl Forwarder {
@@ -48,24 +50,24 @@
             },
             members: Arc::new(members),
             shared,
-            room: Arc::new(Semaphore::new(MOST_AT_ONCE)),
+            permits: Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS)),
         }
     }
 
-    /// Submits a job at the owner of its cell.
+    /// Submits a job to the owner of its cell.
     pub(super) async fn submit(&self, cell: &str, job: JobSpec) -> Result<JobStatus, Error> {
         let owner = self.shared.owners().peer_of(cell);
         let addr = owner.and_then(|owner| self.members.get(&owner).copied());
         let Some(addr) = addr else {
-            let what = format!("cell {cell} has no owner that this instance hears");
-            return Err(Error::new(ErrorKind::NoUpstream, what).retry_after(500));
+            let message = format!("no live owner of cell {cell} is known");
+            return Err(Error::new(ErrorKind::NoUpstream, message).retry_after(500));
         };
         let call = JobCall::Submit { cell: cell.to_owned(), job };
         match self.ask(addr, &call).await {
             Ok(JobAnswer::Job(status)) => Ok(status),
             Ok(JobAnswer::Refused(refusal)) => Err(refusal.into()),
-            Ok(_) => Err(senseless()),
-            // The owner may have committed it: the submitter asks again under the same identity.
+            Ok(_) => Err(unexpected_answer()),
+            // The owner may have committed the job. The submitter retries with the same job id.
             Err(error) if error.kind == ErrorKind::Unreachable => {
                 Err(Error::new(ErrorKind::OutcomeUnknown, error.detail).retry_after(500))
             }
@@ -73,23 +75,23 @@
         }
     }
 
-    /// Asks all peers for one job; the one that owns its cell knows.
+    /// Asks all peers about one job; the owner of its cell answers with the status.
     pub(super) async fn job(&self, call: JobCall) -> Result<JobStatus, Error> {
-        match self.first_that_knows(&call).await? {
+        match self.first_known(&call).await? {
             JobAnswer::Job(status) => Ok(status),
-            _ => Err(senseless()),
+            _ => Err(unexpected_answer()),
         }
     }
 
-    /// Asks all peers why a job is where it is.
+    /// Asks all peers to explain the state of a job.
     pub(super) async fn explain(&self, id: String) -> Result<JobExplanation, Error> {
-        match self.first_that_knows(&JobCall::Explain { id }).await? {
+        match self.first_known(&JobCall::Explain { id }).await? {
             JobAnswer::Explanation(explanation) => Ok(explanation),
-            _ => Err(senseless()),
+            _ => Err(unexpected_answer()),
         }
     }
 
-    /// Adds the jobs that the peers own to `jobs`.
+    /// Adds the jobs of the cells that the peers own to `jobs`.
     pub(super) async fn list(&self, mut jobs: Vec<JobStatus>) -> Vec<JobStatus> {
         for answer in self.ask_all(&JobCall::List).await {
             if let Ok(JobAnswer::Jobs(more)) = answer {
@@ -101,8 +103,9 @@
         jobs
     }
 
-    /// `NotFound` only when everybody who may own the job's cell answered that it is not there.
-    async fn first_that_knows(&self, call: &JobCall) -> Result<JobAnswer, Error> {
+    /// Returns `NotFound` only if every daemon that may own the job's cell answered that it does
+    /// not have the job.
+    async fn first_known(&self, call: &JobCall) -> Result<JobAnswer, Error> {
         let mut worst = Error::new(ErrorKind::NotFound, format!("{call:?}"));
         for answer in self.ask_all(call).await {
             match answer {
@@ -119,8 +122,8 @@
         }
         let unowned = self.shared.owners().unowned();
         if worst.kind == ErrorKind::NotFound && !unowned.is_empty() {
-            let what = format!("cells without a known owner: {}", unowned.join(", "));
-            return Err(Error::new(ErrorKind::NoUpstream, what).retry_after(500));
+            let message = format!("cells without a known owner: {}", unowned.join(", "));
+            return Err(Error::new(ErrorKind::NoUpstream, message).retry_after(500));
         }
         Err(worst)
     }
@@ -130,45 +133,53 @@
     }
 
     async fn ask(&self, addr: SocketAddr, call: &JobCall) -> Result<JobAnswer, Error> {
-        let silent = || {
-            let what = format!("{addr}: no answer within {} ms", PEER_LIMIT.as_millis());
-            Error::new(ErrorKind::Unreachable, what)
+        let timed_out = || {
+            let message = format!("{addr}: no answer within {} ms", PEER_CALL_TIMEOUT.as_millis());
+            Error::new(ErrorKind::Unreachable, message)
         };
-        let Ok(_room) = self.room.acquire().await else { return Err(silent()) };
-        let asked = tokio::time::timeout(PEER_LIMIT, self.exchange(addr, call)).await;
-        asked.unwrap_or_else(|_| Err(silent()))
+        let Ok(_permit) = self.permits.acquire().await else { return Err(timed_out()) };
+        let asked = tokio::time::timeout(PEER_CALL_TIMEOUT, self.exchange(addr, call)).await;
+        asked.unwrap_or_else(|_| Err(timed_out()))
     }
 
     async fn exchange(&self, addr: SocketAddr, call: &JobCall) -> Result<JobAnswer, Error> {
         let json = serde_json::to_string(call).map_err(|error| protocol(&error))?;
-        let gone = |what: &dyn std::fmt::Display| {
-            Error::new(ErrorKind::Unreachable, format!("{addr}: {what}"))
+        let unreachable = |message: &dyn std::fmt::Display| {
+            Error::new(ErrorKind::Unreachable, format!("{addr}: {message}"))
         };
-        let stream = TcpStream::connect(addr).await.map_err(|error| gone(&error))?;
+        let stream = TcpStream::connect(addr).await.map_err(|error| unreachable(&error))?;
         let _ = stream.set_nodelay(true);
-        let mut link = Framed::new(stream, FrameCodec::default());
-        link.feed(frame(Body::Hello(self.hello.clone()))).await.map_err(|error| gone(&error))?;
+        let mut connection = Framed::new(stream, FrameCodec::default());
+        connection
+            .feed(frame(Body::Hello(self.hello.clone())))
+            .await
+            .map_err(|error| unreachable(&error))?;
         let body = Body::JobCall(PeerJobCall { json });
-        link.send(frame(body)).await.map_err(|error| gone(&error))?;
-        while let Some(received) = link.next().await {
-            if let Some(Body::JobAnswer(answer)) = received.map_err(|error| gone(&error))?.body {
+        connection.send(frame(body)).await.map_err(|error| unreachable(&error))?;
+        while let Some(received) = connection.next().await {
+            if let Some(Body::JobAnswer(answer)) =
+                received.map_err(|error| unreachable(&error))?.body
+            {
                 return serde_json::from_str(&answer.json).map_err(|error| protocol(&error));
             }
         }
-        Err(gone(&"the link closed"))
+        Err(unreachable(&"connection closed before the answer"))
     }
 }
 
-/// Cells in the order in which they suit a job: weighted rendezvous by capacity, so that each cell
-/// gets its share and a new cell takes only jobs that rank it first.
-pub(super) fn home_order<'a>(id: &str, floors: &'a [(String, Cell)]) -> Vec<&'a (String, Cell)> {
-    let score = |(name, floor): &(String, Cell)| {
+/// Cells in the rendezvous order of a job, weighted by capacity: each cell gets its share of the
+/// jobs, and a new cell takes only the jobs that rank it first.
+pub(super) fn rendezvous_order<'a>(
+    id: &str,
+    cells: &'a [(String, Cell)],
+) -> Vec<&'a (String, Cell)> {
+    let score = |(name, cell): &(String, Cell)| {
         let hash = xxh3_64(format!("{id}\0{name}").as_bytes());
         let unit = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
-        let cpu_milli: u64 = floor.workers().map(|worker| worker.spec.capacity.cpu_milli).sum();
+        let cpu_milli: u64 = cell.workers().map(|worker| worker.spec.capacity.cpu_milli).sum();
         -(cpu_milli as f64) / unit.ln()
     };
-    let mut order: Vec<&(String, Cell)> = floors.iter().collect();
+    let mut order: Vec<&(String, Cell)> = cells.iter().collect();
     order.sort_by(|a, b| score(b).total_cmp(&score(a)));
     order
 }
@@ -177,8 +188,8 @@
     Frame { body: Some(body) }
 }
 
-fn senseless() -> Error {
-    Error::new(ErrorKind::Protocol, "a peer answered another question")
+fn unexpected_answer() -> Error {
+    Error::new(ErrorKind::Protocol, "a peer sent an unexpected type of answer")
 }
 
 fn protocol(error: &dyn std::fmt::Display) -> Error {
--- a/crates/agatesilld/src/cells/jobs.rs
+++ b/crates/agatesilld/src/cells/jobs.rs
@@ -1,4 +1,5 @@
-//! Calls about jobs: answered from the cells owned here, or by the daemon that owns the job's cell.
+//! Calls about jobs, answered from the cells owned here or forwarded to the daemon that owns the
+//! job's cell.
 
 use agatesill_policy::prelude::*;
 use agatesill_wire::api::{JobExplanation, JobStatus};
@@ -6,13 +7,13 @@
 use agatesill_wire::prelude::*;
 use tokio::sync::oneshot;
 
-use super::forward::home_order;
-use super::owned::{Awaited, JobReply, Owned};
+use super::forward::rendezvous_order;
+use super::owned::{Awaited, JobReply, OwnedCell};
 use super::report::job_status;
-use super::{CellCall, Cells, now_ms, validate};
+use super::{CellCall, CellManager, now_ms, validate};
 
-impl Cells {
-    pub(super) fn answer(&mut self, call: CellCall) {
+impl CellManager {
+    pub(super) fn handle_call(&mut self, call: CellCall) {
         match call {
             CellCall::Submit(job, reply) => self.submit(job, reply),
             CellCall::Show(id, reply) => match self.show(&id) {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Answers a peer from the cells owned here; nothing is forwarded a second time.
+    /// Answers a peer from the cells owned here. A peer's call is never forwarded again.
     fn answer_peer(&mut self, call: JobCall, reply: oneshot::Sender<Result<JobAnswer, Error>>) {
         let not_here = |id: &str| Error::new(ErrorKind::NotFound, format!("job {id}"));
         match call {
@@ -49,7 +50,7 @@
                 self.accept(
                     &cell,
                     job,
-                    Box::new(move |one| respond(reply, one.map(JobAnswer::Job))),
+                    Box::new(move |result| respond(reply, result.map(JobAnswer::Job))),
                 );
             }
             JobCall::Show { id } => {
@@ -58,7 +59,10 @@
             }
             JobCall::List => respond(reply, Ok(JobAnswer::Jobs(self.list()))),
             JobCall::Cancel { id } => {
-                self.cancel(&id, Box::new(move |one| respond(reply, one.map(JobAnswer::Job))));
+                self.cancel(
+                    &id,
+                    Box::new(move |result| respond(reply, result.map(JobAnswer::Job))),
+                );
             }
             JobCall::Explain { id } => {
                 let explanation = self.explain(&id).ok_or_else(|| not_here(&id));
@@ -67,25 +71,26 @@
         }
     }
 
-    /// Takes a submission: checks it, finds its cell and accepts it there, here or at the owner.
+    /// Validates a submission, selects its cell and accepts it there, either here or at the cell's
+    /// owner.
     fn submit(&mut self, job: JobSpec, reply: oneshot::Sender<Result<JobStatus, Error>>) {
         let config = self.shared.config();
         if config.version == 0 {
-            let error = Error::new(ErrorKind::StoreUnavailable, "no configuration known yet");
+            let error = Error::new(ErrorKind::StoreUnavailable, "no configuration received yet");
             return respond(reply, Err(error.retry_after(1_000)));
         }
         if let Err(error) = validate(&job, &config.doc) {
             return respond(reply, Err(error));
         }
-        // A job that waits for others stands in their cell, whichever that is.
+        // A job that depends on other jobs belongs in their cell.
         let Some(first) = job.after.first().cloned() else {
-            return match self.home(&job) {
-                Ok(cell) => self.accept_anywhere(&cell, job, reply),
+            return match self.select_cell(&job) {
+                Ok(cell) => self.accept_or_forward(&cell, job, reply),
                 Err(error) => respond(reply, Err(error)),
             };
         };
         if let Some(cell) = self.cell_of(&first) {
-            return self.accept_anywhere(&cell, job, reply);
+            return self.accept_or_forward(&cell, job, reply);
         }
         let forwarder = self.forwarder.clone();
         tokio::spawn(async move {
@@ -101,7 +106,7 @@
         });
     }
 
-    fn accept_anywhere(
+    fn accept_or_forward(
         &mut self,
         cell: &str,
         job: JobSpec,
@@ -116,36 +121,36 @@
         });
     }
 
-    /// The cell where the job belongs: the first, in the job's own order, whose workers could ever
-    /// hold one of its tasks.
-    fn home(&self, job: &JobSpec) -> Result<String, Error> {
-        let floors: Vec<(String, Cell)> = self
+    /// Selects the cell of a job: the first cell in the job's rendezvous order whose workers are
+    /// large enough to ever hold one of its tasks.
+    fn select_cell(&self, job: &JobSpec) -> Result<String, Error> {
+        let cells: Vec<(String, Cell)> = self
             .settings
             .iter()
             .map(|(name, settings)| (name.clone(), Cell::new(&settings.workers)))
             .collect();
-        let order = home_order(&job.id, &floors);
-        let mut nearest = "there are no cells".to_owned();
-        for (name, floor) in order {
-            match floor.impossible(job) {
+        let order = rendezvous_order(&job.id, &cells);
+        let mut reason = "there are no cells".to_owned();
+        for (name, cell) in order {
+            match cell.impossible(job) {
                 None => return Ok(name.clone()),
-                Some(why) => nearest = why,
+                Some(why) => reason = why,
             }
         }
-        Err(Error::new(ErrorKind::Impossible, nearest))
+        Err(Error::new(ErrorKind::Impossible, reason))
     }
 
-    /// Accepts a job into a cell that must be owned here; the answer follows the commit.
+    /// Accepts a job into a cell that must be owned here. The answer is sent after the commit.
     fn accept(&mut self, cell: &str, job: JobSpec, reply: JobReply) {
         let valid = self.lease.is_valid();
         let Some(owned) = self.owned.get_mut(cell) else {
-            let what = format!("cell {cell} is not owned by {}", self.instance);
-            return reply(Err(Error::new(ErrorKind::NoUpstream, what).retry_after(500)));
+            let message = format!("cell {cell} is not owned by {}", self.instance);
+            return reply(Err(Error::new(ErrorKind::NoUpstream, message).retry_after(500)));
         };
         if let Some(known) = known_spec(owned, &job.id) {
             if *known != job {
-                let what = format!("job {} was submitted before with other contents", job.id);
-                return reply(Err(Error::new(ErrorKind::Conflict, what)));
+                let message = format!("job {} was already submitted with a different spec", job.id);
+                return reply(Err(Error::new(ErrorKind::Conflict, message)));
             }
             return match owned.cell.job(&job.id) {
                 Some(known) => reply(Ok(job_status(cell, known))),
@@ -153,12 +158,12 @@
             };
         }
         if !valid {
-            let error = Error::new(ErrorKind::StoreUnavailable, "the store does not answer");
+            let error = Error::new(ErrorKind::StoreUnavailable, "the store is unavailable");
             return reply(Err(error.retry_after(1_000)));
         }
         if let Some(on) = job.after.iter().find(|on| owned.cell.job(on).is_none()) {
-            let what = format!("after: there is no job {on} in cell {cell}");
-            return reply(Err(Error::new(ErrorKind::BadRequest, what)));
+            let message = format!("after: there is no job {on} in cell {cell}");
+            return reply(Err(Error::new(ErrorKind::BadRequest, message)));
         }
         owned.wait(&job.id, Awaited::Accept, reply);
         owned.pending.push(CellDelta::Accept { job, at_ms: now_ms() });
@@ -174,7 +179,7 @@
             return reply(Ok(job_status(&cell, job)));
         }
         if !valid {
-            let error = Error::new(ErrorKind::StoreUnavailable, "the store does not answer");
+            let error = Error::new(ErrorKind::StoreUnavailable, "the store is unavailable");
             return reply(Err(error.retry_after(1_000)));
         }
         owned.wait(id, Awaited::Cancel, reply);
@@ -182,7 +187,7 @@
     }
 
     fn cell_of(&self, id: &str) -> Option<String> {
-        let holds = |(_, owned): &(&String, &Owned)| {
+        let holds = |(_, owned): &(&String, &OwnedCell)| {
             owned.cell.job(id).is_some_and(|job| job.forwarded.is_none())
         };
         self.owned.iter().find(holds).map(|(name, _)| name.clone())
@@ -194,7 +199,7 @@
     }
 
     fn list(&self) -> Vec<JobStatus> {
-        let jobs = |(name, owned): (&String, &Owned)| {
+        let jobs = |(name, owned): (&String, &OwnedCell)| {
             let here = owned.cell.jobs().filter(|job| job.forwarded.is_none());
             here.map(|job| job_status(name, job)).collect::<Vec<_>>()
         };
@@ -232,8 +237,8 @@
     }
 }
 
-/// The job as submitted earlier, committed or about to be.
-fn known_spec<'a>(owned: &'a Owned, id: &str) -> Option<&'a JobSpec> {
+/// The spec that was submitted earlier under this id, committed or still pending.
+fn known_spec<'a>(owned: &'a OwnedCell, id: &str) -> Option<&'a JobSpec> {
     let accepted = |delta: &'a CellDelta| match delta {
         CellDelta::Accept { job, .. } if job.id == id => Some(job),
         _ => None,
@@ -243,6 +248,6 @@
 }
 
 fn respond<T>(reply: oneshot::Sender<T>, answer: T) {
-    // A caller that went away needs no answer.
+    // A caller that has disconnected needs no answer.
     let _ = reply.send(answer);
 }
--- a/crates/agatesilld/src/cells/owner.rs
+++ b/crates/agatesilld/src/cells/lease_keeper.rs
@@ -1,4 +1,5 @@
-//! Keeps the store lease, claims the cells that this instance should own and takes their logs over.
+//! Renews the store lease, claims the cells that this instance should own and takes over their
+//! logs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -15,69 +16,70 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// Share of the lease that the loop may act on; the same margin as the lease itself keeps.
-const VALID_PERCENT: u32 = 100 - agatesill_coord::lease::SAFETY_MARGIN_PERCENT;
+/// Share of the lease during which the loop may act, with the same safety margin as the lease
+/// itself.
+const USABLE_LEASE_PERCENT: u32 = 100 - agatesill_coord::lease::SAFETY_MARGIN_PERCENT;
 
-/// Weight of one daemon among the candidates; all are alike today.
-const CAPACITY: u32 = 1;
+/// Weight of one daemon among the candidates; all daemons are equal.
+const DAEMON_CAPACITY: u32 = 1;
 
 /// A call from the loop.
 #[derive(Debug)]
-pub(super) enum KeeperCall {
-    /// The loop no longer acts on the cell.
+pub(super) enum LeaseKeeperCall {
+    /// The loop no longer acts on the cell; release it.
     GiveUp(String),
-    /// The loop acts on nothing any more.
+    /// The loop has stopped; release the lease.
     Release,
 }
 
 /// A cell that was claimed and taken over.
-pub(super) struct Taken {
+pub(super) struct Takeover {
     pub(super) name: String,
     pub(super) lease_id: u64,
     pub(super) log: CommitLog,
     pub(super) replay: Replay<Cell, CellDelta>,
 }
 
-/// What the keeper needs of the settings.
+/// The part of the settings that the lease keeper uses.
 #[derive(Clone, Debug)]
-pub(super) struct KeeperSettings {
+pub(super) struct LeaseKeeperSettings {
     instance: String,
     cells: Vec<String>,
     ttl: Duration,
-    renew_every: Duration,
-    patience: Duration,
+    renew_interval: Duration,
+    claim_delay: Duration,
 }
 
-impl KeeperSettings {
+impl LeaseKeeperSettings {
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             instance: settings.instance.clone(),
             cells: settings.cells.keys().cloned().collect(),
             ttl: Duration::from_millis(settings.store.lease_ms),
-            renew_every: Duration::from_millis(settings.store.renew_ms),
-            patience: Duration::from_millis(settings.peers.suspect_ms),
+            renew_interval: Duration::from_millis(settings.store.renew_ms),
+            claim_delay: Duration::from_millis(settings.peers.suspect_ms),
         }
     }
 }
 
-/// Keeps the lease and claims cells.
-pub(super) struct Keeper {
-    settings: KeeperSettings,
+/// Renews the lease and claims cells.
+pub(super) struct LeaseKeeper {
+    settings: LeaseKeeperSettings,
     store: Store,
     shared: Shared,
     ownership: Ownership,
-    taken: BTreeSet<String>,
+    claimed: BTreeSet<String>,
     unowned_since: BTreeMap<String, Instant>,
 }
 
-impl Keeper {
-    pub(super) fn new(settings: &KeeperSettings, store: Store, shared: Shared) -> Self {
+impl LeaseKeeper {
+    pub(super) fn new(settings: &LeaseKeeperSettings, store: Store, shared: Shared) -> Self {
         Self {
             ownership: Ownership::new(store.clone(), &settings.instance, settings.ttl),
             settings: settings.clone(),
             store,
             shared,
-            taken: BTreeSet::new(),
+            claimed: BTreeSet::new(),
             unowned_since: BTreeMap::new(),
         }
     }
@@ -85,15 +87,15 @@
     pub(super) async fn run(
         mut self,
         events: mpsc::Sender<Event>,
-        mut calls: mpsc::Receiver<KeeperCall>,
+        mut calls: mpsc::Receiver<LeaseKeeperCall>,
     ) {
-        let mut renew = tokio::time::interval(self.settings.renew_every);
+        let mut renew = tokio::time::interval(self.settings.renew_interval);
         renew.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 call = calls.recv() => match call {
-                    Some(KeeperCall::GiveUp(name)) => self.give_up(&name).await,
-                    Some(KeeperCall::Release) | None => break,
+                    Some(LeaseKeeperCall::GiveUp(name)) => self.give_up(&name).await,
+                    Some(LeaseKeeperCall::Release) | None => break,
                 },
                 _ = renew.tick() => {
                     if let Err(error) = self.renew(&events).await {
@@ -108,7 +110,7 @@
     }
 
     async fn give_up(&mut self, name: &str) {
-        self.taken.remove(name);
+        self.claimed.remove(name);
         if let Err(error) = self.ownership.give_up(&range(name)).await {
             log::warn!(event = "give_up_failed", cell = name; "{error}");
         }
@@ -120,9 +122,9 @@
         self.ownership.renew().await?;
         let lease_id = self.ownership.lease_id();
         if lease_id != before {
-            self.taken.clear();
+            self.claimed.clear();
         }
-        let until = sent + self.settings.ttl * VALID_PERCENT / 100;
+        let until = sent + self.settings.ttl * USABLE_LEASE_PERCENT / 100;
         let _ = events.send(Event::Lease { lease_id, until }).await;
         for name in self.claimable().await? {
             if self.ownership.claim(&range(&name)).await? {
@@ -132,10 +134,10 @@
         Ok(())
     }
 
-    /// Cells without an owner that this instance should claim now: those that fall to it, and
-    /// others that stayed without an owner for long.
+    /// Cells without an owner that this instance should claim now: those assigned to it, and others
+    /// that have had no owner for longer than `claim_delay`.
     async fn claimable(&mut self) -> Result<Vec<String>, Error> {
-        if self.taken.len() == self.settings.cells.len() {
+        if self.claimed.len() == self.settings.cells.len() {
             return Ok(Vec::new());
         }
         let owners = self.store.range(&format!("{OWNER_PREFIX}cell/")).await?;
@@ -150,14 +152,14 @@
         let now = Instant::now();
         let mut claimable = Vec::new();
         for name in &self.settings.cells {
-            if self.taken.contains(name)
+            if self.claimed.contains(name)
                 || owned.contains(&format!("{OWNER_PREFIX}{}", range(name)))
             {
                 self.unowned_since.remove(name);
                 continue;
             }
             let since = *self.unowned_since.entry(name.clone()).or_insert(now);
-            if preferred.contains(name) || now.duration_since(since) > self.settings.patience {
+            if preferred.contains(name) || now.duration_since(since) > self.settings.claim_delay {
                 claimable.push(name.clone());
             }
         }
@@ -167,8 +169,10 @@
     fn preferred(&self) -> BTreeSet<String> {
         let mut live: BTreeSet<String> = self.shared.peers().iter().cloned().collect();
         live.insert(self.settings.instance.clone());
-        let candidates: Vec<Candidate> =
-            live.into_iter().map(|instance| Candidate { instance, capacity: CAPACITY }).collect();
+        let candidates: Vec<Candidate> = live
+            .into_iter()
+            .map(|instance| Candidate { instance, capacity: DAEMON_CAPACITY })
+            .collect();
         let ranges: Vec<&str> = self.settings.cells.iter().map(String::as_str).collect();
         assign_ranges(&ranges, &candidates)
             .into_iter()
@@ -182,10 +186,10 @@
         let instance = &self.settings.instance;
         match CommitLog::take_over::<Cell, CellDelta>(self.store.clone(), &prefix, instance).await {
             Ok((log, replay)) => {
-                self.taken.insert(name.clone());
+                self.claimed.insert(name.clone());
                 self.unowned_since.remove(&name);
-                let taken = Taken { name, lease_id, log, replay };
-                let _ = events.send(Event::Taken(Box::new(taken))).await;
+                let takeover = Takeover { name, lease_id, log, replay };
+                let _ = events.send(Event::Takeover(Box::new(takeover))).await;
             }
             Err(error) => log::warn!(event = "takeover_failed", cell = name.as_str(); "{error}"),
         }
--- a/crates/agatesilld/src/cells/ledger_check.rs
+++ b/crates/agatesilld/src/cells/ledger_check.rs
@@ -1,13 +1,13 @@
-//! Holds the ledger that a takeover rebuilt against what the workers themselves report.
+//! Compares the ledger that a takeover rebuilt with the workers' own reports.
 
 use std::collections::BTreeMap;
 
 use agatesill_policy::prelude::*;
 use agatesill_wire::platform::{AttemptReport, AttemptState};
 
-/// Logs how the ledger and a worker's first answer to a new owner differ. Both kinds of difference
-/// are ordinary after a crash (a start that never left, an end that was never committed); the log
-/// line lets an operator see that they were mended.
+/// Logs the differences between the ledger and a worker's first answer to a new owner, and returns
+/// their number. Both kinds are normal after a crash: a start that was never sent, or an end that
+/// was never committed. The log lines show operators that the differences were found and repaired.
 pub(super) fn compare(
     cell_name: &str,
     worker: WorkerId,
--- a/crates/agatesilld/src/cells/mod.rs
+++ b/crates/agatesilld/src/cells/mod.rs
@@ -1,17 +1,17 @@
-//! The batch duty: owns cells, commits ledger changes in groups and calls workers.
+//! Cell manager: owns cells of batch workers, commits ledger changes in groups and calls workers.
 //!
-//! One loop holds all state and never waits for the network: lease renewals and takeovers
-//! (`owner`), writes to the log (`commit`) and calls to workers (`workers`) run beside it and
-//! come back as events over a bounded ring. A slow worker or store therefore delays nothing but
-//! what waits for it. `docs/JOBS.md` weighs the design.
+//! One loop holds all state and never waits for the network. Lease renewals and takeovers
+//! (`lease_keeper`), log writes (`commit`) and worker calls (`workers`) run in separate tasks and
+//! report back as events over a bounded queue. A slow worker or store therefore delays only the
+//! operations that depend on it. `docs/JOBS.md` discusses the design.
 
 mod commit;
+mod connections;
 mod forward;
 mod jobs;
+mod lease_keeper;
 mod ledger_check;
-mod links;
 mod owned;
-mod owner;
 mod report;
 mod usage;
 mod validate;
@@ -30,59 +30,60 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-use self::commit::Written;
+use self::commit::WriteResult;
 use self::forward::Forwarder;
-use self::owned::Owned;
-use self::owner::{Keeper, KeeperCall, Taken};
-use self::workers::WorkerAnswer;
+use self::lease_keeper::{LeaseKeeper, LeaseKeeperCall, Takeover};
+use self::owned::OwnedCell;
+use self::workers::WorkerCallResult;
 use crate::settings::{CellSettings, Settings};
 use crate::shared::Shared;
 
 pub use self::validate::validate;
 
-/// Calls from the admin interface and from peers that may wait for the batch duty.
+/// Capacity of the queue of calls from the admin interface and from peers.
 pub const CELL_RING_CALLS: usize = 1_024;
 
-/// Events that may wait for the loop; whoever brings one waits for room.
-const EVENT_RING: usize = 1_024;
+/// Capacity of the event queue. Senders wait while it is full.
+const EVENT_QUEUE_CAPACITY: usize = 1_024;
 
-/// Calls to workers under way at once, over all cells. At the target a daemon has 250 workers
-/// polled twice a second; 64 calls of up to 100 ms carry that.
-const WORKER_CALLS_AT_ONCE: usize = 64;
+/// Maximum number of concurrent worker calls, over all cells. A daemon at its target size polls 250
+/// workers twice a second; 64 concurrent calls of up to 100 ms are enough for that.
+const MAX_CONCURRENT_WORKER_CALLS: usize = 64;
 
-/// How long the planned stop waits for the cells to be given up.
-const RELEASE_LIMIT: Duration = Duration::from_secs(2);
+/// How long a graceful shutdown waits for the cells to be released.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A call from the admin interface or from a peer.
 #[derive(Debug)]
 pub enum CellCall {
-    /// Accept a job; answered once that is committed.
+    /// Accept a job; answered after the commit.
     Submit(JobSpec, oneshot::Sender<Result<JobStatus, Error>>),
-    /// Report on a job.
+    /// Report the status of a job.
     Show(String, oneshot::Sender<Result<JobStatus, Error>>),
-    /// Report on all jobs.
+    /// Report the status of all jobs.
     List(oneshot::Sender<Vec<JobStatus>>),
-    /// Cancel a job; answered once that is committed.
+    /// Cancel a job; answered after the commit.
     Cancel(String, oneshot::Sender<Result<JobStatus, Error>>),
-    /// Say why a job is where it is.
+    /// Explain the current state of a job.
     Explain(String, oneshot::Sender<Result<JobExplanation, Error>>),
-    /// A peer's call, answered from the cells owned here.
+    /// A peer's call, answered only from the cells that this instance owns.
     Peer(JobCall, oneshot::Sender<Result<JobAnswer, Error>>),
 }
 
-/// What the work beside the loop brings back.
+/// Results reported by the tasks outside the loop.
 enum Event {
-    /// The store lease holds until this moment; a new identity means that the old one was lost.
+    /// The store lease was renewed and is valid until `until`. A changed `lease_id` means that the
+    /// previous lease was lost.
     Lease { lease_id: u64, until: Instant },
     /// A cell was claimed and its log taken over.
-    Taken(Box<Taken>),
-    /// A write to a cell's log ended.
-    Written(Box<Written>),
-    /// Calls to a worker ended.
-    Worker(WorkerAnswer),
+    Takeover(Box<Takeover>),
+    /// A write to a cell's log finished.
+    WriteResult(Box<WriteResult>),
+    /// A round of calls to a worker finished.
+    Worker(WorkerCallResult),
 }
 
-/// The store lease as far as the loop knows it.
+/// The store lease as last reported to the loop.
 #[derive(Clone, Copy, Debug, Default)]
 struct LeaseView {
     lease_id: u64,
@@ -95,88 +96,90 @@
     }
 }
 
-/// The batch duty of one daemon.
-pub struct Cells {
+/// The cell manager of one daemon.
+pub struct CellManager {
     instance: String,
     settings: Arc<BTreeMap<String, CellSettings>>,
-    commit_every: Duration,
+    commit_interval: Duration,
     lease: LeaseView,
-    owned: BTreeMap<String, Owned>,
+    owned: BTreeMap<String, OwnedCell>,
     shared: Shared,
     store: Store,
-    keeper_settings: owner::KeeperSettings,
+    keeper_settings: lease_keeper::LeaseKeeperSettings,
     forwarder: Forwarder,
     client: JsonClient,
-    room: Arc<Semaphore>,
+    worker_call_permits: Arc<Semaphore>,
     events: mpsc::Sender<Event>,
-    inbox: Option<mpsc::Receiver<Event>>,
-    keeper: mpsc::Sender<KeeperCall>,
-    keeper_inbox: Option<mpsc::Receiver<KeeperCall>>,
+    event_receiver: Option<mpsc::Receiver<Event>>,
+    keeper: mpsc::Sender<LeaseKeeperCall>,
+    keeper_receiver: Option<mpsc::Receiver<LeaseKeeperCall>>,
 }
 
-impl Cells {
-    /// Prepares the duty.
+impl CellManager {
+    /// Creates the manager; [`CellManager::run`] starts its loop.
     pub fn new(settings: &Settings, store: Store, shared: Shared) -> Self {
-        let (events, inbox) = mpsc::channel(EVENT_RING);
+        let (events, event_receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         shared.owners().all = settings.cells.keys().cloned().collect();
-        let (keeper, keeper_inbox) = mpsc::channel(EVENT_RING);
+        let (keeper, keeper_receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         Self {
             instance: settings.instance.clone(),
             settings: Arc::new(settings.cells.clone()),
-            commit_every: Duration::from_millis(settings.store.commit_ms),
+            commit_interval: Duration::from_millis(settings.store.commit_ms),
             lease: LeaseView::default(),
             owned: BTreeMap::new(),
             forwarder: Forwarder::new(settings, shared.clone()),
             shared,
             store,
-            keeper_settings: owner::KeeperSettings::new(settings),
+            keeper_settings: lease_keeper::LeaseKeeperSettings::new(settings),
             client: JsonClient::default(),
-            room: Arc::new(Semaphore::new(WORKER_CALLS_AT_ONCE)),
+            worker_call_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_WORKER_CALLS)),
             events,
-            inbox: Some(inbox),
+            event_receiver: Some(event_receiver),
             keeper,
-            keeper_inbox: Some(keeper_inbox),
+            keeper_receiver: Some(keeper_receiver),
         }
     }
 
-    /// Runs until `stop` is cancelled, then gives the cells up.
+    /// Runs until `stop` is cancelled, then releases the cells.
     pub async fn run(mut self, mut calls: mpsc::Receiver<CellCall>, stop: CancellationToken) {
-        let (Some(mut inbox), Some(keeper_inbox)) = (self.inbox.take(), self.keeper_inbox.take())
+        let (Some(mut event_receiver), Some(keeper_receiver)) =
+            (self.event_receiver.take(), self.keeper_receiver.take())
         else {
             return;
         };
-        let keeper = Keeper::new(&self.keeper_settings, self.store.clone(), self.shared.clone());
-        let keeper = tokio::spawn(keeper.run(self.events.clone(), keeper_inbox));
-        let mut turn = tokio::time::interval(self.commit_every);
-        turn.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let keeper =
+            LeaseKeeper::new(&self.keeper_settings, self.store.clone(), self.shared.clone());
+        let keeper = tokio::spawn(keeper.run(self.events.clone(), keeper_receiver));
+        let mut ticks = tokio::time::interval(self.commit_interval);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 () = stop.cancelled() => break,
-                _ = turn.tick() => self.turn(),
-                Some(event) = inbox.recv() => self.handle(event),
-                Some(call) = calls.recv() => self.answer(call),
+                _ = ticks.tick() => self.tick(),
+                Some(event) = event_receiver.recv() => self.handle(event),
+                Some(call) = calls.recv() => self.handle_call(call),
             }
         }
-        drop(inbox);
+        drop(event_receiver);
         for name in self.owned.keys().cloned().collect::<Vec<_>>() {
             self.drop_cell(&name, "stopping");
         }
-        let _ = self.keeper.send(KeeperCall::Release).await;
-        if tokio::time::timeout(RELEASE_LIMIT, keeper).await.is_err() {
-            log::warn!(event = "release_failed"; "the store did not answer in time");
+        let _ = self.keeper.send(LeaseKeeperCall::Release).await;
+        if tokio::time::timeout(RELEASE_TIMEOUT, keeper).await.is_err() {
+            log::warn!(event = "release_failed"; "timed out waiting for the release of the cells");
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Lease { lease_id, until } => self.lease_renewed(lease_id, until),
-            Event::Taken(taken) => self.taken(*taken),
-            Event::Written(written) => self.written(*written),
-            Event::Worker(answer) => self.worker_answered(answer),
+            Event::Takeover(takeover) => self.takeover_finished(*takeover),
+            Event::WriteResult(result) => self.write_finished(*result),
+            Event::Worker(result) => self.worker_calls_finished(result),
         }
     }
 
-    /// Another lease than before means that the claims made under the old one are gone.
+    /// A different lease id means that the claims made under the previous lease are lost.
     fn lease_renewed(&mut self, lease_id: u64, until: Instant) {
         if self.lease.lease_id != lease_id && self.lease.lease_id != 0 {
             for name in self.owned.keys().cloned().collect::<Vec<_>>() {
@@ -187,40 +190,40 @@
         self.owned.values_mut().for_each(|owned| owned.confirmed = Instant::now());
     }
 
-    fn taken(&mut self, taken: Taken) {
-        let Some(settings) = self.settings.get(&taken.name) else { return };
-        if taken.lease_id != self.lease.lease_id {
-            log::info!(event = "takeover_late", cell = taken.name.as_str(); "");
+    fn takeover_finished(&mut self, takeover: Takeover) {
+        let Some(settings) = self.settings.get(&takeover.name) else { return };
+        if takeover.lease_id != self.lease.lease_id {
+            log::info!(event = "takeover_late", cell = takeover.name.as_str(); "");
             return;
         }
-        let owned = Owned::new(taken.log, taken.replay, settings);
+        let owned = OwnedCell::new(takeover.log, takeover.replay, settings);
         log::info!(
-            event = "cell_taken", cell = taken.name.as_str(), epoch = owned.epoch,
+            event = "cell_taken", cell = takeover.name.as_str(), epoch = owned.epoch,
             jobs = owned.cell.jobs().count(), live = owned.cell.placed().count(); ""
         );
-        self.owned.insert(taken.name, owned);
+        self.owned.insert(takeover.name, owned);
     }
 
-    /// One look at every owned cell: commit what is due, call the workers that are due.
-    fn turn(&mut self) {
+    /// Starts the commits and the worker calls that are due in each owned cell.
+    fn tick(&mut self) {
         let valid = self.lease.is_valid();
-        let config = BatchConfig::new(&self.shared.config().doc, commit::PLACEMENTS_PER_COMMIT);
+        let config = BatchConfig::new(&self.shared.config().doc, commit::MAX_PLACEMENTS_PER_COMMIT);
         for name in self.owned.keys().cloned().collect::<Vec<_>>() {
             let Some(settings) = self.settings.get(&name) else { continue };
             let Some(owned) = self.owned.get_mut(&name) else { continue };
-            let silent = owned.confirmed.elapsed();
-            if silent > Duration::from_millis(settings.outage_renew_ms) {
-                self.drop_cell(&name, "not confirmed for too long");
+            let unconfirmed = owned.confirmed.elapsed();
+            if unconfirmed > Duration::from_millis(settings.outage_renew_ms) {
+                self.drop_cell(&name, "ownership not confirmed within outage_renew_ms");
                 continue;
             }
             owned.expire_waiters();
-            owned.end_lapsed(settings);
+            owned.end_expired_attempts(settings);
             commit::start_write(&name, owned, valid, &config, &self.events);
             let calls = workers::CallContext {
                 cell: &name,
                 settings,
                 client: &self.client,
-                room: &self.room,
+                permits: &self.worker_call_permits,
                 events: &self.events,
                 may_start: valid,
             };
@@ -232,44 +235,45 @@
         self.shared.owners().own = self.owned.keys().cloned().collect();
     }
 
-    fn written(&mut self, written: Written) {
-        let name = written.cell.clone();
+    fn write_finished(&mut self, result: WriteResult) {
+        let name = result.cell.clone();
         let Some(owned) = self.owned.get_mut(&name) else { return };
-        if owned.epoch != written.epoch {
+        if owned.epoch != result.epoch {
             return;
         }
-        if let Err(error) = commit::finish_write(&name, owned, written) {
+        if let Err(error) = commit::finish_write(&name, owned, result) {
             log::warn!(event = "commit_failed", cell = name.as_str(); "{error}");
             if error.kind == ErrorKind::Conflict {
-                self.drop_cell(&name, "another owner has taken over");
+                self.drop_cell(&name, "another owner has taken the cell over");
             }
         }
     }
 
-    fn worker_answered(&mut self, answer: WorkerAnswer) {
-        let name = answer.cell.clone();
+    fn worker_calls_finished(&mut self, result: WorkerCallResult) {
+        let name = result.cell.clone();
         let Some(owned) = self.owned.get_mut(&name) else { return };
-        if owned.epoch != answer.epoch {
+        if owned.epoch != result.epoch {
             return;
         }
-        if let Err(error) = workers::take_answer(&name, owned, answer)
+        if let Err(error) = workers::handle_result(&name, owned, result)
             && error.kind == ErrorKind::Conflict
         {
-            self.drop_cell(&name, "a worker has heard from a later owner");
+            self.drop_cell(&name, "a worker has received calls from a later owner");
         }
     }
 
-    /// Stops acting on a cell at once. Whoever waits for a commit is told what is known of it.
+    /// Stops acting on a cell immediately. Callers that wait for a commit are answered with the
+    /// outcome as far as it is known.
     fn drop_cell(&mut self, name: &str, why: &str) {
         let Some(owned) = self.owned.remove(name) else { return };
         log::warn!(event = "cell_lost", cell = name, epoch = owned.epoch; "{why}");
-        owned.dismiss_waiters();
+        owned.fail_waiters();
         self.shared.cells().remove(name);
-        let _ = self.keeper.try_send(KeeperCall::GiveUp(name.to_owned()));
+        let _ = self.keeper.try_send(LeaseKeeperCall::GiveUp(name.to_owned()));
     }
 }
 
-/// Answers a peer's call about jobs from the cells owned here.
+/// Answers a peer's call about jobs from the cells that this instance owns.
 pub async fn answer_peer(cells: &mpsc::Sender<CellCall>, call: &PeerJobCall) -> PeerJobAnswer {
     let answer = match serde_json::from_str(&call.json) {
         Ok(call) => ask(cells, call).await,
@@ -280,14 +284,16 @@
 }
 
 async fn ask(cells: &mpsc::Sender<CellCall>, call: JobCall) -> Result<JobAnswer, Error> {
-    let full = || Error::new(ErrorKind::RingFull, "ring to the batch duty").retry_after(200);
-    let stopped = || Error::new(ErrorKind::Stopping, "batch duty").retry_after(500);
+    let ring_full =
+        || Error::new(ErrorKind::RingFull, "the ring to the cell manager is full").retry_after(200);
+    let stopped =
+        || Error::new(ErrorKind::Stopping, "the cell manager has stopped").retry_after(500);
     let (reply, answer) = oneshot::channel();
-    cells.try_send(CellCall::Peer(call, reply)).map_err(|_| full())?;
+    cells.try_send(CellCall::Peer(call, reply)).map_err(|_| ring_full())?;
     answer.await.map_err(|_| stopped())?
 }
 
-/// Milliseconds since the Unix epoch, for reports and deadlines of jobs only.
+/// Milliseconds since the Unix epoch. Only for reports and job deadlines.
 pub fn now_ms() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.unwrap_or_default().as_millis() as u64
--- a/crates/agatesilld/src/cells/owned.rs
+++ b/crates/agatesilld/src/cells/owned.rs
@@ -9,20 +9,20 @@
 use agatesill_wire::api::JobStatus;
 use agatesill_wire::prelude::*;
 
-use super::links::Link;
+use super::connections::WorkerConnection;
 use super::now_ms;
 use crate::settings::CellSettings;
 
-/// How long a submission or cancellation waits for its commit before it is answered otherwise.
-const COMMIT_WAIT: Duration = Duration::from_millis(2_000);
+/// How long a submission or cancellation waits for its commit before it is answered with an error.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time between two looks at a cell for the status page.
-const STATUS_EVERY: Duration = Duration::from_millis(250);
+/// Interval between two status updates of a cell.
+const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Where the answer to a call about one job goes.
+/// Receives the answer to a call about one job.
 pub(super) type JobReply = Box<dyn FnOnce(Result<JobStatus, Error>) + Send>;
 
-/// What a caller waits to see committed.
+/// The change that a caller waits to see committed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Awaited {
     Accept,
@@ -37,32 +37,33 @@
     pub(super) reply: JobReply,
 }
 
-/// One owned cell.
-pub(super) struct Owned {
-    /// The log; away while a write is under way.
+/// State of one owned cell.
+pub(super) struct OwnedCell {
+    /// The commit log; `None` while a write is in progress.
     pub(super) log: Option<CommitLog>,
     pub(super) epoch: u64,
     pub(super) cell: Cell,
     pub(super) policy: BatchPolicy,
-    /// Deltas for the next records.
+    /// Deltas to be written with the next records.
     pub(super) pending: Vec<CellDelta>,
-    /// Deltas of the record whose fate is not known yet.
+    /// Deltas of the record that is being written or whose outcome is unknown.
     pub(super) in_flight: Vec<CellDelta>,
-    /// Ends that stand in one of the two lists above.
+    /// Attempts whose end is in `pending` or `in_flight`.
     pub(super) ending: BTreeSet<(TaskId, Attempt)>,
     pub(super) waiters: Vec<Waiter>,
-    pub(super) links: BTreeMap<WorkerId, Link>,
-    pub(super) taken: Instant,
+    pub(super) connections: BTreeMap<WorkerId, WorkerConnection>,
+    pub(super) taken_over_at: Instant,
     /// When the store last confirmed that this instance owns the cell.
     pub(super) confirmed: Instant,
-    /// No write is tried before this moment.
+    /// Earliest time of the next write.
     pub(super) write_after: Instant,
     pub(super) snapshot_wanted: bool,
     status_at: Option<Instant>,
 }
 
-impl Owned {
-    /// The cell as the log has it; the ledger's workers are brought in line with the settings.
+impl OwnedCell {
+    /// Rebuilds the cell from the log and queues the deltas that bring its workers in line with the
+    /// settings.
     pub(super) fn new(
         log: CommitLog,
         replay: Replay<Cell, CellDelta>,
@@ -84,8 +85,8 @@
             in_flight: Vec::new(),
             ending: BTreeSet::new(),
             waiters: Vec::new(),
-            links: BTreeMap::new(),
-            taken: now,
+            connections: BTreeMap::new(),
+            taken_over_at: now,
             confirmed: now,
             write_after: now,
             snapshot_wanted: false,
@@ -93,96 +94,101 @@
         }
     }
 
-    /// Queues the end of an attempt once.
+    /// Queues the end of an attempt, at most once.
     pub(super) fn push_end(&mut self, task: &str, attempt: Attempt, outcome: AttemptOutcome) {
         if self.ending.insert((task.to_owned(), attempt)) {
             self.pending.push(CellDelta::End { task: task.to_owned(), attempt, outcome });
         }
     }
 
-    /// Queues the ends of attempts whose lease has certainly ended without a word of them.
+    /// Queues the ends of attempts whose lease has certainly expired without a report on them.
     ///
-    /// Guards against running a task in two places: a worker that cannot be reached may still run
-    /// it. Its reservation stays until the lease is over by this process's own clock, counted from
-    /// the last renewal sent, with the margins that [`Link::lease_over`] adds.
-    pub(super) fn end_lapsed(&mut self, settings: &CellSettings) {
+    /// Guards against running a task in two places: an unreachable worker may still run it. The
+    /// attempt keeps its reservation until the lease has expired by this process's own clock,
+    /// counted from the last renewal sent and extended by the margins of
+    /// [`WorkerConnection::lease_expired`].
+    pub(super) fn end_expired_attempts(&mut self, settings: &CellSettings) {
         let now = Instant::now();
-        let over: Vec<(TaskId, Attempt, WorkerId)> = self
+        let expired: Vec<(TaskId, Attempt, WorkerId)> = self
             .cell
             .placed()
             .filter(|(task, attempt, worker)| {
                 !self.ending.contains(&(task.clone(), *attempt))
-                    && self.links.get(worker).is_some_and(|link| {
-                        link.lease_over(task, *attempt, self.taken, settings, now)
+                    && self.connections.get(worker).is_some_and(|connection| {
+                        connection.lease_expired(task, *attempt, self.taken_over_at, settings, now)
                     })
             })
             .collect();
-        for (task, attempt, worker) in over {
+        for (task, attempt, worker) in expired {
             self.end_lost_attempt(&task, attempt, worker);
         }
     }
 
     /// Queues the end of an attempt that was lost with its worker.
     pub(super) fn end_lost_attempt(&mut self, task: &str, attempt: Attempt, worker: WorkerId) {
-        let seen_for_ms = self.links.get(&worker).and_then(|link| link.seen_for_ms(task, attempt));
+        let seen_for_ms = self
+            .connections
+            .get(&worker)
+            .and_then(|connection| connection.seen_for_ms(task, attempt));
         let outcome = lost_attempt_outcome(seen_for_ms);
         log::warn!(event = "attempt_lost", task = task, attempt = attempt, worker = worker,
             seen_for_ms = seen_for_ms.unwrap_or(0), outcome:? = outcome; "");
         self.push_end(task, attempt, outcome);
     }
 
-    /// Answers those whose commit takes too long. An acceptance that was not written yet is taken
-    /// back, so that the refusal is true; for one that may stand the answer says so.
+    /// Answers callers whose commit takes too long. An acceptance that has not been written is
+    /// withdrawn, so the refusal is definite. If the record may have been committed, the answer
+    /// reports an unknown outcome.
     pub(super) fn expire_waiters(&mut self) {
         let now = Instant::now();
         let (late, waiting): (Vec<Waiter>, Vec<Waiter>) =
             self.waiters.drain(..).partition(|waiter| waiter.until <= now);
         self.waiters = waiting;
         for waiter in late {
-            self.dismiss(waiter);
+            self.fail_waiter(waiter);
         }
     }
 
-    /// Answers all who wait, because this instance stops acting on the cell.
-    pub(super) fn dismiss_waiters(mut self) {
+    /// Answers all waiting callers, because this instance stops acting on the cell.
+    pub(super) fn fail_waiters(mut self) {
         for waiter in std::mem::take(&mut self.waiters) {
-            self.dismiss(waiter);
+            self.fail_waiter(waiter);
         }
     }
 
-    fn dismiss(&mut self, waiter: Waiter) {
-        let is_wanted = |delta: &CellDelta| match (delta, waiter.awaited) {
+    fn fail_waiter(&mut self, waiter: Waiter) {
+        let is_awaited = |delta: &CellDelta| match (delta, waiter.awaited) {
             (CellDelta::Accept { job, .. }, Awaited::Accept) => job.id == waiter.job,
             (CellDelta::Cancel { job }, Awaited::Cancel) => *job == waiter.job,
             _ => false,
         };
-        let may_stand = self.in_flight.iter().any(is_wanted);
+        let may_be_committed = self.in_flight.iter().any(is_awaited);
         let shared = self
             .waiters
             .iter()
             .any(|other| other.job == waiter.job && other.awaited == waiter.awaited);
-        if !may_stand && !shared {
-            self.pending.retain(|delta| !is_wanted(delta));
+        if !may_be_committed && !shared {
+            self.pending.retain(|delta| !is_awaited(delta));
         }
-        let error = if may_stand {
-            let what = format!("job {}: the store has not confirmed it; ask again", waiter.job);
-            Error::new(ErrorKind::OutcomeUnknown, what)
+        let error = if may_be_committed {
+            let message = format!("job {}: the commit is not confirmed yet; retry", waiter.job);
+            Error::new(ErrorKind::OutcomeUnknown, message)
         } else {
-            let what = format!("job {}: the store does not answer", waiter.job);
-            Error::new(ErrorKind::StoreUnavailable, what)
+            let message = format!("job {}: the store did not answer in time", waiter.job);
+            Error::new(ErrorKind::StoreUnavailable, message)
         };
         (waiter.reply)(Err(error.retry_after(1_000)));
     }
 
-    /// Lets a caller wait for a commit.
+    /// Registers a caller that waits for a commit.
     pub(super) fn wait(&mut self, job: &str, awaited: Awaited, reply: JobReply) {
-        let until = Instant::now() + COMMIT_WAIT;
+        let until = Instant::now() + COMMIT_TIMEOUT;
         self.waiters.push(Waiter { job: job.to_owned(), awaited, until, reply });
     }
 
-    /// Whether the status page is due for a look; true at most every quarter of a second.
+    /// Whether the cell's status is due for an update; true at most every 250 ms.
     pub(super) fn status_due(&mut self) -> bool {
-        let due = self.status_at.is_none_or(|at| at.elapsed() >= STATUS_EVERY);
+        let due = self.status_at.is_none_or(|at| at.elapsed() >= STATUS_INTERVAL);
         if due {
             self.status_at = Some(Instant::now());
         }
--- a/crates/agatesilld/src/cells/report.rs
+++ b/crates/agatesilld/src/cells/report.rs
@@ -1,11 +1,11 @@
-//! What the batch duty tells: log lines of ledger changes, job and cell status.
+//! Reports of the cell manager: log lines of ledger changes, job status and cell status.
 
 use agatesill_policy::prelude::*;
 use agatesill_wire::api::{CellStatus, JobStatus, JobTask};
 
-use super::owned::Owned;
+use super::owned::OwnedCell;
 
-/// Writes the log line of a committed change.
+/// Logs a committed change.
 pub(super) fn log_delta(cell: &str, epoch: u64, delta: &CellDelta) {
     match delta {
         CellDelta::Accept { job, .. } => {
@@ -41,7 +41,7 @@
     }
 }
 
-/// A job as reported.
+/// Status of a job as reported to callers.
 pub(super) fn job_status(cell: &str, job: &Job) -> JobStatus {
     let task = |view: &agatesill_policy::batch::TaskView| JobTask {
         state: state_name(&view.state).to_owned(),
@@ -68,8 +68,8 @@
     }
 }
 
-/// A cell as reported on the status page.
-pub(super) fn cell_status(name: &str, owned: &Owned) -> CellStatus {
+/// Status of a cell as shown on the status page.
+pub(super) fn cell_status(name: &str, owned: &OwnedCell) -> CellStatus {
     let (mut waiting, mut placed, mut done) = (0, 0, 0);
     for task in owned.cell.jobs().flat_map(|job| &job.tasks) {
         match task.state {
--- a/crates/agatesilld/src/cells/usage.rs
+++ b/crates/agatesilld/src/cells/usage.rs
@@ -1,17 +1,18 @@
-//! Hands the workers' lagging usage to the policy.
+//! Passes the workers' delayed usage reports to the policy.
 
 use agatesill_policy::batch::UsageReport;
 use agatesill_policy::prelude::*;
 use agatesill_wire::platform::WorkerReply;
 
 use super::now_ms;
-use super::owned::Owned;
+use super::owned::OwnedCell;
 
-/// Tells the policy what a worker measured, and when, on this process's clock.
+/// Passes a worker's usage report to the policy, with the time of measurement on this process's
+/// clock.
 ///
-/// A report that names no service counts too. Left out, a service under pressure that ends would
-/// leave its last pressure behind, and the worker would stay closed to batch work for ever.
-pub(super) fn observe(worker: WorkerId, owned: &mut Owned, reply: &WorkerReply) {
+/// Reports without services are passed on too. Otherwise the last reported pressure of a service
+/// that has ended would stay, and the worker would remain closed to batch work forever.
+pub(super) fn observe(worker: WorkerId, owned: &mut OwnedCell, reply: &WorkerReply) {
     let report = UsageReport {
         measured_ms: now_ms().saturating_sub(reply.usage_age_ms),
         services: reply.services.clone(),
--- a/crates/agatesilld/src/cells/validate.rs
+++ b/crates/agatesilld/src/cells/validate.rs
@@ -1,24 +1,25 @@
-//! Checks of a submitted job against bounds and the configuration, with the field and the limit.
+//! Validates submitted jobs against fixed bounds and the configuration. Errors name the field and
+//! the limit.
 
 use agatesill_policy::prelude::*;
 use agatesill_wire::jobs::JOB_BOUNDS;
 use agatesill_wire::prelude::*;
 
-/// Checks `job`; [`ErrorKind::BadRequest`] names the field and what it may be.
+/// Validates `job`. [`ErrorKind::BadRequest`] names the field and the allowed values.
 pub fn validate(job: &JobSpec, doc: &ConfigDoc) -> Result<(), Error> {
     check_id(&job.id)?;
-    within("tasks", u64::from(job.tasks), 1, u64::from(JOB_BOUNDS.max_tasks))?;
-    within("run_ms", job.run_ms, 1, JOB_BOUNDS.max_run_ms)?;
-    within("deadline_ms", job.deadline_ms, 0, JOB_BOUNDS.max_deadline_ms)?;
-    within("need.cpu_milli", job.need.cpu_milli, 1, u64::from(u32::MAX))?;
-    within("need.memory_mb", job.need.memory_mb, 1, u64::from(u32::MAX))?;
+    check_range("tasks", u64::from(job.tasks), 1, u64::from(JOB_BOUNDS.max_tasks))?;
+    check_range("run_ms", job.run_ms, 1, JOB_BOUNDS.max_run_ms)?;
+    check_range("deadline_ms", job.deadline_ms, 0, JOB_BOUNDS.max_deadline_ms)?;
+    check_range("need.cpu_milli", job.need.cpu_milli, 1, u64::from(u32::MAX))?;
+    check_range("need.memory_mb", job.need.memory_mb, 1, u64::from(u32::MAX))?;
     if !doc.teams.contains_key(&job.team) {
-        return Err(bad("team", &job.team, "a configured team", doc.teams.keys()));
+        return Err(unknown_name("team", &job.team, "a configured team", doc.teams.keys()));
     }
     let batch = |name: &&String| doc.profiles[*name].class == ProfileClass::Batch;
     if !doc.profiles.keys().filter(batch).any(|name| *name == job.profile) {
         let names = doc.profiles.keys().filter(batch);
-        return Err(bad("profile", &job.profile, "a profile of class batch", names));
+        return Err(unknown_name("profile", &job.profile, "a profile of class batch", names));
     }
     if job.after.contains(&job.id) {
         return Err(Error::new(ErrorKind::BadRequest, "after: the job cannot wait for itself"));
@@ -27,31 +28,32 @@
 }
 
 fn check_id(id: &str) -> Result<(), Error> {
-    let fine = |one: char| one.is_ascii_alphanumeric() || "._-".contains(one);
-    if !id.is_empty() && id.len() <= JOB_BOUNDS.max_id_bytes && id.chars().all(fine) {
+    let is_allowed =
+        |character: char| character.is_ascii_alphanumeric() || "._-".contains(character);
+    if !id.is_empty() && id.len() <= JOB_BOUNDS.max_id_bytes && id.chars().all(is_allowed) {
         return Ok(());
     }
-    let what = format!(
+    let message = format!(
         "id: {id:?} is not 1..={} letters, digits, dots, dashes and underscores",
         JOB_BOUNDS.max_id_bytes
     );
-    Err(Error::new(ErrorKind::BadRequest, what))
+    Err(Error::new(ErrorKind::BadRequest, message))
 }
 
-fn within(field: &str, value: u64, least: u64, most: u64) -> Result<(), Error> {
-    if (least..=most).contains(&value) {
+fn check_range(field: &str, value: u64, min: u64, max: u64) -> Result<(), Error> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(Error::new(ErrorKind::BadRequest, format!("{field}: {value} is outside {least}..={most}")))
+    Err(Error::new(ErrorKind::BadRequest, format!("{field}: {value} is outside {min}..={max}")))
 }
 
-fn bad<'a>(
+fn unknown_name<'a>(
     field: &str,
     value: &str,
-    wanted: &str,
+    expected: &str,
     known: impl Iterator<Item = &'a String>,
 ) -> Error {
     let known: Vec<&str> = known.map(String::as_str).collect();
-    let what = format!("{field}: {value:?} is not {wanted}; there are {}", known.join(", "));
-    Error::new(ErrorKind::BadRequest, what)
+    let message = format!("{field}: {value:?} is not {expected}; there are {}", known.join(", "));
+    Error::new(ErrorKind::BadRequest, message)
 }
--- a/crates/agatesilld/src/cells/workers.rs
+++ b/crates/agatesilld/src/cells/workers.rs
@@ -1,9 +1,9 @@
-//! Calls to workers, beside the loop: what the ledger asks of each worker is sent until the worker
-//! shows that it knows.
+//! Calls to workers, made in tasks outside the loop. Each instruction that follows from the ledger
+//! is sent until the worker's answer reflects it.
 //!
-//! Nothing is remembered of effects: whether an attempt has to be started, renewed or stopped
-//! follows from the committed ledger and the worker's newest answer, so a lost call, a lost answer
-//! and a takeover are all mended by the next call.
+//! The module keeps no record of delivered instructions. The committed ledger and the worker's
+//! latest answer determine whether an attempt has to be started, renewed or stopped, so the next
+//! call repairs a lost call, a lost answer or a takeover.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,33 +16,33 @@
 use hyper::Method;
 use tokio::sync::{Semaphore, mpsc};
 
-use super::links::{Link, Track};
-use super::owned::Owned;
+use super::connections::{TrackedAttempt, WorkerConnection};
+use super::owned::OwnedCell;
 use super::{Event, ledger_check, usage};
 use crate::settings::CellSettings;
 
-/// Longest wait for a worker's answer.
-pub(super) const WORKER_CALL_LIMIT: Duration = Duration::from_millis(800);
+/// Timeout of one call to a worker.
+pub(super) const WORKER_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Most calls to one worker in a row; more wait for the next turn.
-const CALLS_IN_A_ROW: usize = 64;
+/// Maximum number of calls to one worker in one round. The rest wait for the next round.
+const MAX_CALLS_PER_ROUND: usize = 64;
 
-/// A worker that does not answer is called after this many of its regular intervals at most.
-const MAX_BACKOFF: u32 = 4;
+/// Maximum back-off for a worker that does not answer, as a multiple of the poll interval.
+const MAX_BACKOFF_INTERVALS: u32 = 4;
 
-/// What calls need besides the cell.
+/// Everything that worker calls need in addition to the cell's state.
 pub(super) struct CallContext<'a> {
     pub(super) cell: &'a str,
     pub(super) settings: &'a CellSettings,
     pub(super) client: &'a JsonClient,
-    pub(super) room: &'a Arc<Semaphore>,
+    pub(super) permits: &'a Arc<Semaphore>,
     pub(super) events: &'a mpsc::Sender<Event>,
-    /// Whether new attempts may start; renewals and stops go on without the store.
+    /// Whether new attempts may start. Renewals and stops continue while the store is unavailable.
     pub(super) may_start: bool,
 }
 
-/// How a round of calls to one worker ended.
-pub(super) struct WorkerAnswer {
+/// Result of one round of calls to a worker.
+pub(super) struct WorkerCallResult {
     pub(super) cell: String,
     pub(super) epoch: u64,
     worker: WorkerId,
@@ -51,16 +51,16 @@
     outcome: Result<WorkerReply, Error>,
 }
 
-/// Calls every worker of the cell that is due and not being called.
-pub(super) fn call_due(owned: &mut Owned, context: &CallContext) {
+/// Starts a round of calls to every worker that is due and has no round in progress.
+pub(super) fn call_due(owned: &mut OwnedCell, context: &CallContext) {
     let now = Instant::now();
-    let interval = Duration::from_millis(context.settings.poll_ms);
+    let poll_interval = Duration::from_millis(context.settings.poll_ms);
     let ids: Vec<WorkerId> = owned.cell.workers().map(|worker| worker.spec.id).collect();
     for id in ids {
-        let link = owned.links.entry(id).or_default();
-        let wait = interval * link.failures.clamp(1, MAX_BACKOFF);
-        let polled = link.called.is_some_and(|called| now.duration_since(called) < wait);
-        if link.busy || (polled && !(link.due && link.failures == 0)) {
+        let connection = owned.connections.entry(id).or_default();
+        let wait = poll_interval * connection.failures.clamp(1, MAX_BACKOFF_INTERVALS);
+        let polled = connection.called.is_some_and(|called| now.duration_since(called) < wait);
+        if connection.busy || (polled && !(connection.due && connection.failures == 0)) {
             continue;
         }
         let calls = calls_for(id, owned, context, now);
@@ -68,10 +68,11 @@
     }
 }
 
-/// What the ledger asks of a worker now: stops first, so that they free room for starts.
+/// The calls that the ledger requires for one worker. Stops come first, to free capacity for
+/// starts.
 fn calls_for(
     id: WorkerId,
-    owned: &mut Owned,
+    owned: &mut OwnedCell,
     context: &CallContext,
     now: Instant,
 ) -> Vec<WorkerCall> {
@@ -82,19 +83,19 @@
         .worker(id)
         .map(|worker| worker.live.iter().cloned().collect())
         .unwrap_or_default();
-    let link = owned.links.entry(id).or_default();
-    link.called = Some(now);
-    let silent = link.is_silent(owned.taken, context.settings, now);
-    link.due = false;
-    let mut calls = strays_and_throttles(link, epoch);
+    let connection = owned.connections.entry(id).or_default();
+    connection.called = Some(now);
+    let unresponsive = connection.is_unresponsive(owned.taken_over_at, context.settings, now);
+    connection.due = false;
+    let mut calls = stops_and_throttles(connection, epoch);
     let mut renewed = Vec::new();
     let mut starts: Vec<((TaskId, Attempt), WorkerCall)> = Vec::new();
     for task in live {
         let Some((job, index)) = owned.cell.locate(&task) else { continue };
         let view = &job.tasks[index];
         let key = (task.clone(), view.attempt);
-        // Guards against a start after the end: once the end of an attempt may stand in the log,
-        // nothing about it is sent any more.
+        // Guards against a start after the end: no call is sent for an attempt whose end may
+        // already be in the log.
         if owned.ending.contains(&key) {
             continue;
         }
@@ -103,10 +104,13 @@
             calls.push(WorkerCall::Stop { epoch, task, attempt: view.attempt, checkpoint });
             continue;
         }
-        if silent {
+        if unresponsive {
             continue;
         }
-        let track = link.tracks.entry(key.clone()).or_insert_with(|| Track::inherited(now));
+        let track = connection
+            .tracked_attempts
+            .entry(key.clone())
+            .or_insert_with(|| TrackedAttempt::inherited(now));
         if track.seen {
             track.sent = now;
             renewed.push(key);
@@ -114,11 +118,12 @@
             starts.push((key, start_call(task, job, view, epoch, lease_ms)));
         }
     }
-    let settled = link.settled.iter().take(CALLS_IN_A_ROW).cloned().collect();
-    let room = CALLS_IN_A_ROW.saturating_sub(calls.len());
-    link.due = starts.len() > room;
-    for (key, call) in starts.into_iter().take(room) {
-        let track = link.tracks.entry(key).or_insert_with(|| Track::new(now));
+    let settled = connection.settled.iter().take(MAX_CALLS_PER_ROUND).cloned().collect();
+    let free_calls = MAX_CALLS_PER_ROUND.saturating_sub(calls.len());
+    connection.due = starts.len() > free_calls;
+    for (key, call) in starts.into_iter().take(free_calls) {
+        let track =
+            connection.tracked_attempts.entry(key).or_insert_with(|| TrackedAttempt::new(now));
         track.sent = now;
         track.start_sent = true;
         calls.push(call);
@@ -127,15 +132,15 @@
     calls
 }
 
-fn strays_and_throttles(link: &mut Link, epoch: u64) -> Vec<WorkerCall> {
+fn stops_and_throttles(connection: &mut WorkerConnection, epoch: u64) -> Vec<WorkerCall> {
     let stop = |(task, attempt): &(TaskId, Attempt)| WorkerCall::Stop {
         epoch,
         task: task.clone(),
         attempt: *attempt,
         checkpoint: false,
     };
-    let mut calls: Vec<WorkerCall> = link.strays.iter().map(stop).collect();
-    calls.extend(link.throttles.drain(..).map(|throttle| WorkerCall::Throttle {
+    let mut calls: Vec<WorkerCall> = connection.to_stop.iter().map(stop).collect();
+    calls.extend(connection.throttles.drain(..).map(|throttle| WorkerCall::Throttle {
         epoch,
         task: throttle.task,
         attempt: throttle.attempt,
@@ -157,28 +162,29 @@
     }
 }
 
-/// Sends the calls one after the other; the first that fails ends the round.
+/// Sends the calls one after another; the first failure ends the round.
 ///
-/// The bound on calls under way keeps a floor of slow workers from holding a connection each.
-fn spawn_calls(id: WorkerId, owned: &mut Owned, context: &CallContext, calls: Vec<WorkerCall>) {
-    owned.links.entry(id).or_default().busy = true;
+/// The limit on concurrent calls prevents a cell of slow workers from holding one connection for
+/// each of them.
+fn spawn_calls(id: WorkerId, owned: &mut OwnedCell, context: &CallContext, calls: Vec<WorkerCall>) {
+    owned.connections.entry(id).or_default().busy = true;
     let (client, addr) = (context.client.clone(), context.settings.addr);
-    let (room, events) = (context.room.clone(), context.events.clone());
+    let (permits, events) = (context.permits.clone(), context.events.clone());
     let (cell, epoch) = (context.cell.to_owned(), owned.epoch);
     let settled = calls.iter().flat_map(settled_of).collect();
     let stopped = calls.iter().filter_map(stop_of).collect();
     tokio::spawn(async move {
-        let Ok(_room) = room.acquire_owned().await else { return };
+        let Ok(_permit) = permits.acquire_owned().await else { return };
         let path = format!("/workers/{id}");
         let mut outcome = Err(Error::new(ErrorKind::Unreachable, path.clone()));
         for call in &calls {
-            outcome = client.call(Method::POST, addr, &path, call, WORKER_CALL_LIMIT).await;
+            outcome = client.call(Method::POST, addr, &path, call, WORKER_CALL_TIMEOUT).await;
             if outcome.is_err() {
                 break;
             }
         }
-        let answer = WorkerAnswer { cell, epoch, worker: id, settled, stopped, outcome };
-        let _ = events.send(Event::Worker(answer)).await;
+        let result = WorkerCallResult { cell, epoch, worker: id, settled, stopped, outcome };
+        let _ = events.send(Event::Worker(result)).await;
     });
 }
 
@@ -196,83 +202,88 @@
     }
 }
 
-/// Takes a round's end in. [`ErrorKind::Conflict`] means that the worker has heard from a later
-/// owner: this one must stop acting.
-pub(super) fn take_answer(
+/// Processes the result of a round. [`ErrorKind::Conflict`] means that the worker has received
+/// calls from a later owner, so this one must stop acting.
+pub(super) fn handle_result(
     name: &str,
-    owned: &mut Owned,
-    answer: WorkerAnswer,
+    owned: &mut OwnedCell,
+    result: WorkerCallResult,
 ) -> Result<(), Error> {
-    let id = answer.worker;
-    let link = owned.links.entry(id).or_default();
-    link.busy = false;
-    let reply = match answer.outcome {
+    let id = result.worker;
+    let connection = owned.connections.entry(id).or_default();
+    connection.busy = false;
+    let reply = match result.outcome {
         Ok(reply) => reply,
         Err(error) => {
-            link.failures = link.failures.saturating_add(1);
+            connection.failures = connection.failures.saturating_add(1);
             log::warn!(event = "worker_call_failed", cell = name, worker = id; "{error}");
             return Err(error);
         }
     };
-    link.failures = 0;
-    link.answered = Some(Instant::now());
-    answer.settled.iter().for_each(|key| {
-        link.settled.remove(key);
+    connection.failures = 0;
+    connection.answered = Some(Instant::now());
+    result.settled.iter().for_each(|key| {
+        connection.settled.remove(key);
     });
-    answer.stopped.iter().for_each(|key| {
-        link.strays.remove(key);
+    result.stopped.iter().for_each(|key| {
+        connection.to_stop.remove(key);
     });
-    let barred = answer.stopped.into_iter().filter(|key| link.is_missing(key, &reply.attempts));
-    let barred: Vec<(TaskId, Attempt)> = barred.collect();
-    let first = link.reached.is_none();
+    let confirmed_missing =
+        result.stopped.into_iter().filter(|key| connection.is_missing(key, &reply.attempts));
+    let confirmed_missing: Vec<(TaskId, Attempt)> = confirmed_missing.collect();
+    let first = connection.reached.is_none();
     if first {
-        link.reached = Some(Instant::now());
+        connection.reached = Some(Instant::now());
         ledger_check::compare(name, id, &owned.cell, &reply.attempts);
     }
-    mark_seen(link, &reply.attempts);
-    for (task, attempt) in barred {
+    mark_seen(connection, &reply.attempts);
+    for (task, attempt) in confirmed_missing {
         if owned.cell.is_placed(&task, attempt, id) {
             owned.end_lost_attempt(&task, attempt, id);
         }
     }
-    stop_missing(id, owned, &reply.attempts);
+    stop_missing_attempts(id, owned, &reply.attempts);
     for report in &reply.attempts {
-        take_report(id, owned, report);
+        handle_report(id, owned, report);
     }
     usage::observe(id, owned, &reply);
     Ok(())
 }
 
-fn mark_seen(link: &mut Link, reports: &[AttemptReport]) {
-    link.tracks.values_mut().for_each(|track| track.seen = false);
+fn mark_seen(connection: &mut WorkerConnection, reports: &[AttemptReport]) {
+    connection.tracked_attempts.values_mut().for_each(|track| track.seen = false);
     let now = Instant::now();
     for report in reports.iter().filter(|report| report.state == AttemptState::Running) {
         let key = (report.task.clone(), report.attempt);
-        link.tracks.entry(key).or_insert_with(|| Track::new(now)).mark_seen(now);
+        connection
+            .tracked_attempts
+            .entry(key)
+            .or_insert_with(|| TrackedAttempt::new(now))
+            .mark_seen(now);
     }
 }
 
-/// Queues stops of attempts that may have been started but that the worker does not know, because
-/// it has crashed since or the start was lost. The stop bars a late start; once the worker has
-/// confirmed it, the attempt ends.
+/// Queues stops for attempts that may have been started but that the worker does not report,
+/// because it has crashed since or because the start was lost. The stop prevents a late start; the
+/// attempt ends once the worker has confirmed the stop.
 ///
 /// Guards against repeated starts of an attempt that crashes its worker.
-fn stop_missing(id: WorkerId, owned: &mut Owned, reports: &[AttemptReport]) {
-    let Some(link) = owned.links.get_mut(&id) else { return };
+fn stop_missing_attempts(id: WorkerId, owned: &mut OwnedCell, reports: &[AttemptReport]) {
+    let Some(connection) = owned.connections.get_mut(&id) else { return };
     let (cell, ending) = (&owned.cell, &owned.ending);
-    let missing: Vec<(TaskId, Attempt)> = link
-        .tracks
+    let missing: Vec<(TaskId, Attempt)> = connection
+        .tracked_attempts
         .keys()
         .filter(|key| !ending.contains(*key) && cell.is_placed(&key.0, key.1, id))
-        .filter(|key| link.is_missing(key, reports))
+        .filter(|key| connection.is_missing(key, reports))
         .cloned()
         .collect();
-    link.due |= !missing.is_empty();
-    link.strays.extend(missing);
+    connection.due |= !missing.is_empty();
+    connection.to_stop.extend(missing);
 }
 
-/// Holds a worker's word on one attempt against the ledger.
-fn take_report(id: WorkerId, owned: &mut Owned, report: &AttemptReport) {
+/// Compares a worker's report on one attempt with the ledger.
+fn handle_report(id: WorkerId, owned: &mut OwnedCell, report: &AttemptReport) {
     let key = (report.task.clone(), report.attempt);
     let running = report.state == AttemptState::Running;
     let view = owned.cell.locate(&report.task).map(|(job, index)| &job.tasks[index]);
@@ -284,13 +295,14 @@
         }
         return;
     }
-    // Guards against a worker that comes back with an attempt thought lost: it would show as work
-    // in two places once the next attempt starts beside it. It is told to stop at once.
-    let link = owned.links.entry(id).or_default();
-    link.tracks.remove(&key);
+    // Guards against a task that runs in two places: a worker that was unreachable may still run an
+    // attempt that has been declared lost, while the next attempt starts elsewhere. The worker is
+    // sent a stop immediately.
+    let connection = owned.connections.entry(id).or_default();
+    connection.tracked_attempts.remove(&key);
     if running {
-        link.strays.insert(key);
-        link.due = true;
+        connection.to_stop.insert(key);
+        connection.due = true;
         return;
     }
     let late_success = report.state == AttemptState::Done
@@ -298,7 +310,7 @@
     if late_success {
         owned.push_end(&report.task, report.attempt, AttemptOutcome::Done);
     } else if !owned.ending.contains(&key) {
-        link.settled.insert(key);
+        connection.settled.insert(key);
     }
 }
 
@@ -312,7 +324,7 @@
     }
 }
 
-/// The kind of a failure by the first word that the worker gives.
+/// The kind of a failure, given by the first word of the worker's detail text.
 fn failure_of(detail: &str) -> FailureKind {
     match detail.split_whitespace().next() {
         Some("memory") => FailureKind::MemoryOverrun,
--- a/crates/agatesilld/src/cli.rs
+++ b/crates/agatesilld/src/cli.rs
@@ -1,10 +1,10 @@
-//! The daemon's command line.
+//! Command line of the daemon.
 
 use std::path::PathBuf;
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
-/// The definition, also used for man pages and completions.
+/// The command definition, also used for man pages and completions.
 pub fn command() -> Command {
     Command::new("agatesilld")
         .version(env!("CARGO_PKG_VERSION"))
@@ -26,7 +26,9 @@
                 .long("platform")
                 .action(ArgAction::SetTrue)
                 .conflicts_with_all(["config", "check"])
-                .help("Run on the users' platform, whose settings file the environment names"),
+                .help(
+                    "Run on the users' platform, with the settings file named by the environment",
+                ),
         )
         .arg(
             Arg::new("log-level")
@@ -35,7 +37,7 @@
                 .requires("platform")
                 .value_parser(["error", "warn", "info", "debug", "off"])
                 .default_value("info")
-                .help("Least level that is logged on the platform; debug adds what each look saw"),
+                .help("Minimum log level on the platform; debug adds the result of each poll"),
         )
         .arg(
             Arg::new("metrics-port")
--- a/crates/agatesilld/src/config.rs
+++ b/crates/agatesilld/src/config.rs
@@ -1,8 +1,8 @@
-//! The configuration duty: keeps the newest version in force by watching the store.
+//! Follows the configuration in the store and activates its newest version.
 //!
-//! The other ways are in [`crate::peers`]: a push from the daemon that accepted a change, and the
-//! versions in heartbeats. Each alone is enough; versions in force only rise, whatever arrives
-//! when.
+//! [`crate::peers`] provides two other paths: a push from the daemon that accepted a change, and
+//! the versions in heartbeats. Each path is sufficient alone. The active version only increases,
+//! regardless of the order of arrival.
 
 use agatesill_coord::config::CONFIG_KEY;
 use agatesill_coord::prelude::*;
@@ -15,7 +15,7 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// Follows the store until `stop` is cancelled.
+/// Watches the store until `stop` is cancelled.
 pub async fn follow(store: Store, shared: Shared, stop: CancellationToken) {
     store::watch_prefix(store, CONFIG_KEY, stop, |entries| {
         if let Some(entry) = entries.iter().find(|entry| entry.key == CONFIG_KEY) {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Puts `newest` in force when it is newer, and says so.
+/// Activates and logs `newest` if it is newer than the active version.
 pub fn apply(shared: &Shared, newest: VersionedConfig) {
     let version = newest.version;
     let before = shared.config().version;
@@ -40,16 +40,16 @@
         log::info!(event = "config_in_force", config_version = version; "");
     }
     let after = shared.config().version;
-    assert!(after >= before, "configuration in force fell from version {before} to {after}");
+    assert!(after >= before, "active configuration version decreased from {before} to {after}");
 }
 
-/// Digest of the document, the same on every daemon.
+/// Digest of the document, identical on every daemon.
 pub fn digest(config: &VersionedConfig) -> u64 {
     serde_json::to_vec(&config.doc).map_or(0, |bytes| xxh3_64(&bytes))
 }
 
-/// What the floor holds by this daemon's settings.
-pub fn floor(settings: &Settings) -> DeclaredCapacity {
+/// Capacity of the workers and upstreams in this daemon's settings.
+pub fn declared_capacity(settings: &Settings) -> DeclaredCapacity {
     let workers = settings.cells.values().flat_map(|cell| &cell.workers);
     let pool_slots = settings.pools.iter().map(|(pool, upstreams)| {
         (pool.clone(), upstreams.iter().map(|upstream| u64::from(upstream.slots)).sum())
--- a/crates/agatesilld/src/daemon.rs
+++ b/crates/agatesilld/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the duties of one daemon and joins them.
+//! Starts the threads of one daemon and joins them.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::admin::Admin;
-use crate::cells::{CELL_RING_CALLS, Cells};
+use crate::cells::{CELL_RING_CALLS, CellManager};
 use crate::decide::{DecideEvent, Decider};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
@@ -24,15 +24,15 @@
 /// A running daemon.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub entry_addr: SocketAddr,
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub admin_addr: SocketAddr,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Daemon {
-    /// Waits until every duty has ended.
+    /// Waits until every thread has ended.
     pub fn join(self) {
         for thread in self.threads {
             let _ = thread.join();
@@ -40,7 +40,7 @@
     }
 }
 
-/// Starts a daemon; cancelling `stop` begins a planned stop.
+/// Starts a daemon; cancelling `stop` starts a graceful shutdown.
 pub fn start(settings: &Settings, stop: &CancellationToken) -> Result<Daemon, Error> {
     let entry = bind("entry.addr", settings.entry.addr)?;
     let admin = bind("admin.addr", settings.admin.addr)?;
@@ -58,15 +58,15 @@
 
     let relay = Relay::new(settings, decider.clone(), shared.clone(), metrics.clone());
     let peers = Peers::new(settings, store.clone(), shared.clone(), decider.clone(), calls.clone());
-    let cells = Cells::new(settings, store.clone(), shared.clone());
-    let admin_duty =
+    let cells = CellManager::new(settings, store.clone(), shared.clone());
+    let admin_interface =
         Admin::new(settings, store.clone(), shared.clone(), metrics, calls, stop.clone());
 
     let mut threads = Vec::new();
     let (drain, cut) = (CancellationToken::new(), CancellationToken::new());
     let (accept, cut_off) = (drain.clone(), cut.clone());
     let (drained, all_drained) = oneshot::channel();
-    threads.push(duty("relay", settings.entry.relay_threads, async move {
+    threads.push(spawn_thread("relay", settings.entry.relay_threads, async move {
         if let Some(listener) = listen(entry) {
             relay.run(listener, accept, cut_off).await;
         }
@@ -74,59 +74,60 @@
     })?);
     let token = halt.clone();
     let follower = crate::config::follow(store, shared.clone(), halt.clone());
-    threads.push(duty("store", 1, async move {
+    threads.push(spawn_thread("store", 1, async move {
         tokio::join!(follower, cells.run(cell_calls, token));
     })?);
     let token = halt.clone();
-    threads.push(duty("peers", 1, async move {
+    threads.push(spawn_thread("peers", 1, async move {
         if let Some(listener) = listen(peer) {
             peers.run(listener, token).await;
         }
     })?);
     let token = halt.clone();
-    let planned = PlannedStop {
+    let shutdown = GracefulShutdown {
         stop: stop.clone(),
         drain,
         cut,
         halt,
         all_drained,
         balancer_lag: Duration::from_millis(settings.entry.balancer_lag_ms),
-        drain_limit: Duration::from_millis(settings.entry.drain_ms),
+        drain_timeout: Duration::from_millis(settings.entry.drain_ms),
     };
-    threads.push(duty("admin", 1, async move {
+    threads.push(spawn_thread("admin", 1, async move {
         let Some(listener) = listen(admin) else { return };
-        let supervisor = supervise(shared, decider, planned);
-        tokio::join!(admin_duty.run(listener, token), supervisor);
+        let supervisor = supervise(shared, decider, shutdown);
+        tokio::join!(admin_interface.run(listener, token), supervisor);
     })?);
     Ok(Daemon { entry_addr, admin_addr, threads })
 }
 
-/// Tokens and times of a planned stop.
-struct PlannedStop {
+/// Cancellation tokens and timeouts of a graceful shutdown.
+struct GracefulShutdown {
     stop: CancellationToken,
     drain: CancellationToken,
     cut: CancellationToken,
     halt: CancellationToken,
     all_drained: oneshot::Receiver<()>,
     balancer_lag: Duration,
-    drain_limit: Duration,
+    drain_timeout: Duration,
 }
 
-async fn supervise(shared: Shared, decider: Decider, planned: PlannedStop) {
+async fn supervise(shared: Shared, decider: Decider, shutdown: GracefulShutdown) {
     let mut changes = shared.config_changes();
-    // Guards against a version that arrived before this duty listened, which showed as a daemon
-    // that answers `not_found` for every service until the next change.
+    // Guards against missing a version that arrived before the subscription: the daemon would
+    // answer `not_found` for every service until the next change.
     changes.mark_changed();
     loop {
         tokio::select! {
-            () = planned.stop.cancelled() => break,
+            () = shutdown.stop.cancelled() => break,
             changed = changes.changed() => if changed.is_err() { break },
         }
         let config = changes.borrow_and_update().clone();
         refresh_services(&shared, &config.doc);
         let version = config.version;
         decider.send(DecideEvent::Config(config));
-        // The ring keeps its order: an answer to a later event means that this one is in force.
+        // The queue preserves order: an answer to a later event means that this configuration is
+        // active.
         let (reply, answered) = oneshot::channel();
         decider.send(DecideEvent::LocalLoads(reply));
         if answered.await.is_ok() {
@@ -142,22 +143,22 @@
         }
     };
     tokio::select! {
-        () = wind_down(planned) => {}
+        () = shut_down(shutdown) => {}
         () = late_changes => {}
     }
 }
 
-/// Guards against a planned stop that cuts requests off: readiness has gone first, callers that
-/// the balancer still sends are served until it has noticed, then the listener closes, and the
-/// other duties end only after the last exchange or the drain limit.
-async fn wind_down(planned: PlannedStop) {
-    tokio::time::sleep(planned.balancer_lag).await;
+/// Guards against a shutdown that cuts requests off. Readiness has been withdrawn before; callers
+/// that the load balancer still sends are served until it has noticed, then the listener closes.
+/// The other components stop only after the last exchange or the drain timeout.
+async fn shut_down(shutdown: GracefulShutdown) {
+    tokio::time::sleep(shutdown.balancer_lag).await;
     log::info!(event = "stopping", phase = "listener_closed"; "");
-    planned.drain.cancel();
-    let drained = tokio::time::timeout(planned.drain_limit, planned.all_drained).await;
+    shutdown.drain.cancel();
+    let drained = tokio::time::timeout(shutdown.drain_timeout, shutdown.all_drained).await;
     log::info!(event = "stopping", phase = "drained", in_time = drained.is_ok(); "");
-    planned.cut.cancel();
-    planned.halt.cancel();
+    shutdown.cut.cancel();
+    shutdown.halt.cancel();
 }
 
 fn refresh_services(shared: &Shared, doc: &agatesill_policy::prelude::ConfigDoc) {
@@ -194,7 +195,7 @@
         .ok()
 }
 
-fn duty(
+fn spawn_thread(
     name: &str,
     threads: usize,
     work: impl Future<Output = ()> + Send + 'static,
@@ -210,7 +211,7 @@
     Ok(thread)
 }
 
-/// Cancels `stop` at the first SIGTERM or SIGINT and exits at once at the second.
+/// Cancels `stop` at the first SIGTERM or SIGINT and exits immediately at the second.
 pub fn stop_on_signals(stop: CancellationToken) -> std::io::Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/crates/agatesilld/src/degraded.rs
+++ b/crates/agatesilld/src/degraded.rs
@@ -1,4 +1,4 @@
-//! What does not work as it should at this daemon, in words.
+//! Describes the current faults of this daemon for operators.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use crate::logging;
 use crate::shared::Shared;
 
-/// Lines for the operator, the gravest first; empty when all is well.
+/// One line for each fault, the most severe first; empty if there are none.
 pub fn degraded(
     shared: &Shared,
     store: &Store,
@@ -17,29 +17,30 @@
     let counters = shared.counters();
     let mut lines = Vec::new();
     if shared.served_version() == 0 {
-        lines.push("no configuration is in force yet: every request is refused".to_owned());
+        lines.push("no configuration is active yet: all requests are refused".to_owned());
     }
     let failed_calls = store.consecutive_failures();
     if failed_calls > 0 {
         lines.push(format!(
-            "the store has not answered the last {failed_calls} calls: nothing new is placed or \
-             changed; requests and running tasks go on"
+            "the store has not answered the last {failed_calls} calls: no placements or changes \
+             are made; requests and running tasks continue"
         ));
     }
     let heard = shared.peers().clone();
     lines.extend(members.keys().filter(|name| !heard.contains(name)).map(|name| {
-        format!(
-            "no heartbeat from {name}: its slots are used by the others, its cells are taken over"
-        )
+        format!("no heartbeat from {name}: other daemons use its slots and take over its cells")
     }));
-    let mut counted = |count: u64, what: &str| {
+    let mut add_count = |count: u64, message: &str| {
         if count > 0 {
-            lines.push(format!("{count} {what} since start"));
+            lines.push(format!("{count} {message} since start"));
         }
     };
-    counted(counters.decide_ring_full.get(), "requests refused, the deciding ring was full");
-    counted(counters.cell_ring_full.get(), "job calls refused, the batch ring was full");
-    counted(counters.connections_refused.get(), "connections refused at entry.max_connections");
-    counted(logging::lost_lines(), "log lines lost, the log ring was full");
+    add_count(counters.decide_ring_full.get(), "requests refused because the decide ring was full");
+    add_count(counters.cell_ring_full.get(), "job calls refused because the cells ring was full");
+    add_count(
+        counters.connections_refused.get(),
+        "connections refused because of entry.max_connections",
+    );
+    add_count(logging::lost_lines(), "log lines lost because the log ring was full");
     lines
 }
--- a/crates/agatesilld/src/instruments.rs
+++ b/crates/agatesilld/src/instruments.rs
@@ -1,4 +1,4 @@
-//! What all instruments of one process share: the registry, the meter and the text that is served.
+//! Metric registry, meter and text exposition shared by all instruments of one process.
 
 use opentelemetry::metrics::{Histogram, Meter, MeterProvider};
 use opentelemetry_sdk::error::OTelSdkError;
@@ -7,7 +7,7 @@
 
 use crate::logging;
 
-/// Name under which all instruments are created.
+/// Name of the meter of all instruments.
 const METER: &str = "agatesilld";
 
 /// The registry of one process's instruments.
@@ -18,7 +18,7 @@
 }
 
 impl Instruments {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Result<Self, OTelSdkError> {
         let registry = Registry::new();
         let exporter =
@@ -27,27 +27,27 @@
         Ok(Self { registry, provider })
     }
 
-    /// What creates instruments.
+    /// The meter that creates instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter(METER)
     }
 
-    /// Creates a histogram of seconds with the given upper bounds of buckets.
+    /// Creates a histogram of seconds with the given upper bucket bounds.
     pub fn seconds_histogram(
         &self,
         name: &'static str,
         bounds_s: &[f64],
-        what: &'static str,
+        description: &'static str,
     ) -> Histogram<f64> {
         self.meter()
             .f64_histogram(name)
             .with_unit("s")
             .with_boundaries(bounds_s.to_vec())
-            .with_description(what)
+            .with_description(description)
             .build()
     }
 
-    /// Counts the log lines that were lost.
+    /// Creates a counter of lost log lines.
     pub fn observe_lost_lines(&self) {
         self.meter()
             .u64_observable_counter("agatesill.log.lost")
--- a/crates/agatesilld/src/lib.rs
+++ b/crates/agatesilld/src/lib.rs
@@ -1,9 +1,10 @@
 //! The daemon as a library: start it with settings and a cancellation token.
 //!
-//! Each duty has a thread of its own, joined to the others by bounded rings; `docs/DESIGN.md` has
-//! the table of duties and rings.
+//! Each component has its own thread. Threads communicate over bounded queues (rings);
+//! `docs/DESIGN.md` lists the threads and rings.
 
 pub mod admin;
+pub mod authorization;
 pub mod cells;
 pub mod cli;
 pub mod config;
@@ -18,7 +19,6 @@
 pub mod peers;
 pub mod recent;
 pub mod relay;
-pub mod rights;
 pub mod settings;
 pub mod shared;
 
--- a/crates/agatesilld/src/logging.rs
+++ b/crates/agatesilld/src/logging.rs
@@ -1,7 +1,7 @@
-//! JSON-lines logs through `log` and `fern`, written by a thread of their own.
+//! JSON-lines logging through `log` and `fern`, written by a dedicated thread.
 //!
-//! Lines go over a bounded ring; when it is full they are counted and the count is written as soon
-//! as there is room, so that logging never stalls a request.
+//! Lines are passed through a bounded queue. Lines that do not fit are counted, and the count is
+//! logged as soon as there is capacity, so logging never blocks a request.
 
 use std::fs::OpenOptions;
 use std::io::{BufWriter, Write};
@@ -16,60 +16,60 @@
 use crate::recent;
 use crate::settings::LogSettings;
 
-/// Lines that may wait for the writer: two seconds at 15,000 requests a second.
+/// Capacity of the queue to the writer: two seconds of lines at 15,000 requests a second.
 pub const LOG_RING_LINES: usize = 32_768;
 
-/// Lines written between two flushes at most.
-const BATCH_LINES: usize = 1_024;
+/// Maximum number of lines written between two flushes.
+const MAX_BATCH_LINES: usize = 1_024;
 
-/// How long the writer lets lines gather. Woken for each, it would cost the process a wake-up and a
-/// system call a line, as much as a small daemon's other work; a process that is killed loses the lines
-/// of this time.
-const GATHER: Duration = Duration::from_millis(20);
+/// Time for which the writer collects lines before it writes them. Writing each line separately
+/// would cost a wake-up and a system call per line, as much as the rest of the work of a small
+/// daemon. A process that is killed loses the lines of this interval.
+const WRITE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Bytes of one write. A reader that takes a pipe in pieces loses the end of a larger one: of a burst of
-/// lines only the first would be seen.
-const WRITE_BYTES: usize = 8 << 10;
+/// Maximum size of one write. Readers that read a pipe in chunks lose the end of larger writes:
+/// only the first lines of a burst would be seen.
+const MAX_WRITE_BYTES: usize = 8 << 10;
 
-/// Path that stands for standard output.
+/// Path that selects standard output.
 pub const STANDARD_OUTPUT: &str = "-";
 
-/// Room for a routing line without growing.
-const LINE_BYTES: usize = 512;
+/// Initial capacity of a line, enough for a routing decision without reallocation.
+const LINE_CAPACITY_BYTES: usize = 512;
 
 static RING: OnceLock<Sender<Vec<u8>>> = OnceLock::new();
 
 static LOST_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines given to the ring, and lines written, since the start.
-static GIVEN_LINES: AtomicU64 = AtomicU64::new(0);
+/// Lines queued and lines written, since the start.
+static QUEUED_LINES: AtomicU64 = AtomicU64::new(0);
 static WRITTEN_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Longest wait for the last lines at the end of the process, and the time between two checks: a
-/// blocked output must not hold a planned stop up.
-const LAST_LINES: Duration = Duration::from_millis(200);
-const LAST_LINES_CHECK: Duration = Duration::from_millis(2);
+/// Timeout of the final flush at process exit, and the interval of its checks. A blocked output
+/// must not delay a graceful shutdown.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Lines that the ring had no room for, since the start.
+/// Lines that were lost because the queue was full, since the start.
 pub fn lost_lines() -> u64 {
     LOST_LINES.load(Ordering::Relaxed)
 }
 
-/// Lines that wait for the writer.
+/// Lines that are waiting for the writer.
 pub fn waiting_lines() -> u64 {
     RING.get().map_or(0, |ring| ring.len() as u64)
 }
 
-/// Waits a moment until all lines are written, for the end of the process.
+/// Waits, for a limited time, until all lines are written. Called before the process exits.
 ///
-/// Guards against a planned stop that looks like a crash: the process would end before its last line
-/// is written.
-pub fn finish() {
-    let until = Instant::now() + LAST_LINES;
+/// Guards against a graceful shutdown that looks like a crash because the process ends before its
+/// last line is written.
+pub fn flush() {
+    let until = Instant::now() + FLUSH_TIMEOUT;
     let is_written =
-        || WRITTEN_LINES.load(Ordering::Acquire) >= GIVEN_LINES.load(Ordering::Acquire);
+        || WRITTEN_LINES.load(Ordering::Acquire) >= QUEUED_LINES.load(Ordering::Acquire);
     while !is_written() && Instant::now() < until {
-        std::thread::sleep(LAST_LINES_CHECK);
+        std::thread::sleep(FLUSH_POLL_INTERVAL);
     }
 }
 
@@ -86,33 +86,33 @@
     let (ring, lines) = bounded(LOG_RING_LINES);
     std::thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || write_lines(&lines, BufWriter::with_capacity(WRITE_BYTES, output)))?;
+        .spawn(move || write_lines(&lines, BufWriter::with_capacity(MAX_WRITE_BYTES, output)))?;
     let _ = RING.set(ring.clone());
     let dispatch = fern::Dispatch::new()
         .level(level)
         .level_for("hyper", LevelFilter::Warn)
         .level_for("tarpc", LevelFilter::Warn)
-        .chain(fern::Output::call(move |record| offer(&ring, record)));
+        .chain(fern::Output::call(move |record| enqueue(&ring, record)));
     let _ = dispatch.apply();
     Ok(())
 }
 
-fn offer(ring: &Sender<Vec<u8>>, record: &Record<'_>) {
+fn enqueue(ring: &Sender<Vec<u8>>, record: &Record<'_>) {
     match ring.try_send(encode(record)) {
-        Ok(()) => GIVEN_LINES.fetch_add(1, Ordering::Release),
+        Ok(()) => QUEUED_LINES.fetch_add(1, Ordering::Release),
         Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
             LOST_LINES.fetch_add(1, Ordering::Relaxed)
         }
     };
 }
 
-/// Encodes one record as a line: time, level, module, the key-value pairs and the message.
+/// Encodes one record as a line: time, level, module, key-value pairs and message.
 ///
-/// Straight into the line's own bytes, since at the rated load this runs for every request; a map
-/// of values first would cost an allocation for each field.
+/// The encoder writes directly into the line's buffer, because it runs for every request at the
+/// rated load. An intermediate map of values would need an allocation for each field.
 pub fn encode(record: &Record<'_>) -> Vec<u8> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let mut line = Line(Vec::with_capacity(LINE_BYTES));
+    let mut line = Line(Vec::with_capacity(LINE_CAPACITY_BYTES));
     line.0.extend_from_slice(b"{\"at_ms\":");
     line.value(&(now.as_millis() as u64));
     line.field("level", level_name(record.level()));
@@ -152,7 +152,7 @@
     }
 
     fn value<T: serde::Serialize + ?Sized>(&mut self, value: &T) {
-        // Writing to memory cannot fail, and neither can these types.
+        // Writing to memory and serialising these types cannot fail.
         let _ = serde_json::to_writer(&mut self.0, value);
     }
 }
@@ -166,8 +166,8 @@
             self.value(&number);
         } else if let Some(number) = value.to_i64() {
             self.value(&number);
-        } else if let Some(truth) = value.to_bool() {
-            self.value(&truth);
+        } else if let Some(boolean) = value.to_bool() {
+            self.value(&boolean);
         } else if let Some(number) = value.to_f64().filter(|number| number.is_finite()) {
             self.value(&number);
         } else {
@@ -178,22 +178,22 @@
 }
 
 fn write_lines(lines: &Receiver<Vec<u8>>, mut output: impl Write) {
-    let mut told = 0;
+    let mut reported = 0;
     let mut batch = Vec::new();
     while let Ok(line) = lines.recv() {
         batch.push(line);
-        std::thread::sleep(GATHER);
-        batch.extend(lines.try_iter().take(BATCH_LINES));
+        std::thread::sleep(WRITE_INTERVAL);
+        batch.extend(lines.try_iter().take(MAX_BATCH_LINES));
         for line in &batch {
             let _ = output.write_all(line);
         }
         let written = batch.len() as u64;
-        recent::keep(batch.drain(..));
+        recent::append(batch.drain(..));
         let lost = lost_lines();
-        if lost > told {
+        if lost > reported {
             let _ =
                 writeln!(output, "{{\"level\":\"warn\",\"event\":\"log_lost\",\"lines\":{lost}}}");
-            told = lost;
+            reported = lost;
         }
         let _ = output.flush();
         WRITTEN_LINES.fetch_add(written, Ordering::Release);
--- a/crates/agatesilld/src/main.rs
+++ b/crates/agatesilld/src/main.rs
@@ -1,4 +1,4 @@
-//! Thin program around the daemon library.
+//! Entry point of the daemon `agatesilld`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,14 +10,14 @@
 /// Exit code for wrong usage or settings.
 const EXIT_SETTINGS: u8 = 2;
 
-/// Port of the metrics unless told otherwise: the exporter's customary one.
-const METRICS_PORT: u16 = 9_464;
+/// Default port of the metrics endpoint, the usual one of the OpenTelemetry Prometheus exporter.
+const DEFAULT_METRICS_PORT: u16 = 9_464;
 
 fn main() -> ExitCode {
     let matches = cli::command().get_matches();
     if matches.get_flag("platform") {
         let level = matches.get_one::<String>("log-level").map_or("info", String::as_str);
-        let port = matches.get_one::<u16>("metrics-port").copied().unwrap_or(METRICS_PORT);
+        let port = matches.get_one::<u16>("metrics-port").copied().unwrap_or(DEFAULT_METRICS_PORT);
         return run_on_platform(level, port);
     }
     let Some(path) = matches.get_one::<PathBuf>("config") else {
@@ -37,7 +37,7 @@
     run(&settings)
 }
 
-/// Runs on the users' platform, whose settings file the environment names.
+/// Runs on the users' platform, where an environment variable names the settings file.
 fn run_on_platform(level: &str, metrics_port: u16) -> ExitCode {
     let settings = match agatesill_platform::settings::read() {
         Ok(settings) => settings,
@@ -55,7 +55,7 @@
         return ExitCode::from(EXIT_SETTINGS);
     }
     let ended = agatesilld::fleet::run(settings, metrics_port);
-    logging::finish();
+    logging::flush();
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -83,6 +83,6 @@
         return ExitCode::FAILURE;
     }
     daemon.join();
-    logging::finish();
+    logging::flush();
     ExitCode::SUCCESS
 }
--- a/crates/agatesilld/src/metrics.rs
+++ b/crates/agatesilld/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics by OpenTelemetry, exposed in the Prometheus text format.
+//! OpenTelemetry metrics, exposed in the Prometheus text format.
 //!
-//! `docs/METRICS.md` lists each with its unit and what to do when it moves.
+//! `docs/METRICS.md` lists each metric with its unit and the action to take when it changes.
 
 use agatesill_coord::prelude::*;
 use opentelemetry::KeyValue;
@@ -11,8 +11,8 @@
 use crate::logging;
 use crate::shared::Shared;
 
-/// Upper bounds of the buckets of answer times, in seconds: dense around the promises of today,
-/// 150 and 250 ms.
+/// Upper bucket bounds of answer times in seconds, dense around the latency objectives of 150 and
+/// 250 ms.
 const DURATION_BUCKETS: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.25, 0.5, 1.0, 2.5, 10.0];
 
@@ -26,7 +26,7 @@
 }
 
 impl Metrics {
-    /// Creates the instruments that are written to.
+    /// Creates the instruments that are updated directly.
     pub fn new() -> Result<Self, opentelemetry_sdk::error::OTelSdkError> {
         let instruments = Instruments::new()?;
         let meter = instruments.meter();
@@ -48,7 +48,7 @@
         Ok(Self { instruments, requests, duration, connections })
     }
 
-    /// Creates the instruments that are read when asked for.
+    /// Creates the observable instruments, which are read at collection.
     pub fn observe(&self, shared: &Shared, decider: &Decider, store: &Store) {
         let meter = self.instruments.meter();
         self.instruments.observe_lost_lines();
@@ -92,7 +92,7 @@
     meter
         .u64_observable_counter("agatesill.ring.full")
         .with_unit("{item}")
-        .with_description("Items that a full ring turned away")
+        .with_description("Items rejected because a ring was full")
         .with_callback(move |counter| {
             counter.observe(counted.counters().decide_ring_full.get(), &ring("decide"));
             counter.observe(counted.counters().cell_ring_full.get(), &ring("cells"));
@@ -106,7 +106,7 @@
     meter
         .u64_observable_counter("agatesill.entry.refused")
         .with_unit("{connection}")
-        .with_description("Connections of callers refused or closed, by reason")
+        .with_description("Caller connections refused or closed, by reason")
         .with_callback(move |counter| {
             let reason = |name: &'static str| [KeyValue::new("reason", name)];
             let counters = counted.counters();
@@ -125,14 +125,14 @@
     meter
         .u64_observable_counter("agatesill.records.evicted")
         .with_unit("{record}")
-        .with_description("Records dropped before their time, for lack of room")
+        .with_description("Records evicted before their expiry, for lack of memory")
         .with_callback(move |counter| counter.observe(evicted.records().evicted(), &[]))
         .build();
     let leaving = shared.clone();
     meter
         .u64_observable_gauge("agatesill.upstreams.leaving")
         .with_unit("{upstream}")
-        .with_description("Upstreams that gave this daemon itself a sign of leaving")
+        .with_description("Upstreams that announced to this daemon directly that they are leaving")
         .with_callback(move |gauge| gauge.observe(leaving.leaving().len() as u64, &[]))
         .build();
 }
@@ -141,14 +141,14 @@
     let config = shared.clone();
     meter
         .u64_observable_gauge("agatesill.config.version")
-        .with_description("Version of the configuration in force")
+        .with_description("Version of the active configuration")
         .with_callback(move |gauge| gauge.observe(config.config().version, &[]))
         .build();
     let peers = shared.clone();
     meter
         .u64_observable_gauge("agatesill.peers.live")
         .with_unit("{instance}")
-        .with_description("Other daemons heard lately")
+        .with_description("Peers with a recent heartbeat")
         .with_callback(move |gauge| gauge.observe(peers.peers().len() as u64, &[]))
         .build();
     let cells = shared.clone();
--- a/crates/agatesilld/src/peers.rs
+++ b/crates/agatesilld/src/peers.rs
@@ -1,9 +1,9 @@
-//! The peer duty: heartbeats with loads, and configurations pushed to whoever is behind.
+//! Peer connections: heartbeats with loads, and configuration pushes to peers that are behind.
 //!
-//! A daemon keeps one link to every member and speaks on it; it listens on those that others keep
-//! to it. A configuration goes out on a link when it comes into force here, and again whenever a
-//! heartbeat shows its sender to be behind. So a daemon born in an outage of the store has the
-//! newest version one heartbeat after it met a peer.
+//! A daemon opens one connection to every member and sends on it; it receives on the connections
+//! that the members open to it. A configuration is sent when it is accepted here, and again
+//! whenever a heartbeat shows that the sender is behind. A daemon that starts during a store outage
+//! therefore has the newest version one heartbeat after it has connected to a peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -33,32 +33,33 @@
 use crate::settings::{PeerSettings, Settings};
 use crate::shared::Shared;
 
-/// Pause before a broken link is opened again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
+/// Back-off before a broken connection is opened again.
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(200);
 
-/// How long opening a link may take.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long one frame may take to be sent; a paused peer's link is opened anew.
-const SEND_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for sending one frame. The connection to a paused peer is then opened again.
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a connection may take to say who it is.
-const HELLO_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for receiving the hello frame on a new connection.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a peer may take to send its configuration.
-const FETCH_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for fetching a peer's configuration.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Shortest time between two pushes to a peer that stays behind.
-const PUSH_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum interval between two pushes to a peer that stays behind.
+const MIN_PUSH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Connections taken in for each member: its link, one that is about to be found dead, and its
-/// questions about earlier attempts and about jobs, of which it asks at most 32 each at once.
-const CONNECTIONS_PER_MEMBER: usize = 66;
+/// Accepted connections for each member: its peer connection, a dead one that has not been detected
+/// yet, and its calls about earlier attempts and about jobs, of which it makes at most 32 each at a
+/// time.
+const MAX_CONNECTIONS_PER_MEMBER: usize = 66;
 
-/// Connections taken in besides, from strangers that have not yet said who they are.
-const STRANGER_CONNECTIONS: usize = 8;
+/// Additional accepted connections, for peers that have not identified themselves yet.
+const MAX_UNIDENTIFIED_CONNECTIONS: usize = 8;
 
-/// The links of one daemon; clones share one state.
+/// The peer connections of one daemon; clones share one state.
 #[derive(Clone, Debug)]
 pub struct Peers {
     instance: String,
@@ -69,15 +70,15 @@
     store: Store,
     cells: mpsc::Sender<CellCall>,
     membership: Arc<Mutex<Membership>>,
-    /// Wakes the link to a member that is behind.
+    /// Wakes the connection to a member that is behind.
     behind: Arc<BTreeMap<String, Notify>>,
-    /// Version and digest of the document that was digested last.
+    /// Version and digest of the last digested document.
     digested: Arc<Mutex<(u64, u64)>>,
-    fetching: Arc<Semaphore>,
+    fetch_permit: Arc<Semaphore>,
 }
 
 impl Peers {
-    /// Prepares the links.
+    /// Creates the state of the peer connections; [`Peers::run`] opens them.
     pub fn new(
         settings: &Settings,
         store: Store,
@@ -97,28 +98,29 @@
             behind: Arc::new(members.map(|name| (name.clone(), Notify::new())).collect()),
             digested: Arc::default(),
             cells,
-            fetching: Arc::new(Semaphore::new(1)),
+            fetch_permit: Arc::new(Semaphore::new(1)),
             membership: Arc::new(Mutex::new(Membership::new(suspect_after))),
         }
     }
 
-    /// Accepts links and keeps one to every member until `stop` is cancelled.
+    /// Accepts connections and keeps one to every member until `stop` is cancelled.
     pub async fn run(self, listener: TcpListener, stop: CancellationToken) {
         for (name, addr) in self.settings.members.clone() {
             if name != self.instance {
-                tokio::spawn(self.clone().keep_link(name, addr, stop.clone()));
+                tokio::spawn(self.clone().keep_connected(name, addr, stop.clone()));
             }
         }
         tokio::spawn(self.clone().follow_leases(stop.clone()));
         tokio::spawn(self.clone().follow_platform(stop.clone()));
-        let most = self.settings.members.len() * CONNECTIONS_PER_MEMBER + STRANGER_CONNECTIONS;
-        let room = Arc::new(Semaphore::new(most));
+        let max_accepted =
+            self.settings.members.len() * MAX_CONNECTIONS_PER_MEMBER + MAX_UNIDENTIFIED_CONNECTIONS;
+        let permits = Arc::new(Semaphore::new(max_accepted));
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
                 accepted = listener.accept() => {
                     if let Ok((stream, _)) = accepted
-                        && let Ok(permit) = room.clone().try_acquire_owned()
+                        && let Ok(permit) = permits.clone().try_acquire_owned()
                     {
                         let peers = self.clone();
                         let stop = stop.clone();
@@ -143,63 +145,64 @@
 
     async fn follow_platform(self, stop: CancellationToken) {
         store::watch_prefix(self.store.clone(), PLATFORM_PREFIX, stop, |entries| {
-            let words = entries.iter().map(|entry| entry.value.clone());
+            let states = entries.iter().map(|entry| entry.value.clone());
             let names = names_under(PLATFORM_PREFIX, &entries);
-            self.membership().update_platform_list(names.zip(words).collect(), Instant::now());
+            self.membership().update_platform_list(names.zip(states).collect(), Instant::now());
         })
         .await;
     }
 
-    async fn keep_link(self, name: String, addr: SocketAddr, stop: CancellationToken) {
+    async fn keep_connected(self, name: String, addr: SocketAddr, stop: CancellationToken) {
         while !stop.is_cancelled() {
-            let opened = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(addr)).await;
+            let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
             if let Ok(Ok(stream)) = opened {
                 let _ = stream.set_nodelay(true);
-                let link = Framed::new(stream, FrameCodec::default());
-                if let Err(error) = self.talk(&name, link, &stop).await {
+                let connection = Framed::new(stream, FrameCodec::default());
+                if let Err(error) = self.run_connection(&name, connection, &stop).await {
                     log::debug!(event = "peer_link_closed", peer = name.as_str(); "{error}");
                 }
             }
             let jitter = 0.5 + rand::random::<f64>();
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = tokio::time::sleep(RECONNECT_PAUSE.mul_f64(jitter)) => {}
+                () = tokio::time::sleep(RECONNECT_BACKOFF.mul_f64(jitter)) => {}
             }
         }
     }
 
-    async fn talk(
+    async fn run_connection(
         &self,
         name: &str,
-        mut link: PeerConnection,
+        mut connection: PeerConnection,
         stop: &CancellationToken,
     ) -> Result<(), Error> {
-        send(&mut link, Body::Hello(self.hello())).await?;
-        let mut beat = tokio::time::interval(Duration::from_millis(self.settings.heartbeat_ms));
-        beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        send(&mut connection, Body::Hello(self.hello())).await?;
+        let mut heartbeats =
+            tokio::time::interval(Duration::from_millis(self.settings.heartbeat_ms));
+        heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut changes = self.shared.config_changes();
         let mut sequence = 0;
         let mut pushed = Instant::now();
-        self.push_config(&mut link).await?;
+        self.push_config(&mut connection).await?;
         loop {
             tokio::select! {
                 () = stop.cancelled() => return Ok(()),
                 _ = changes.changed() => {
                     pushed = Instant::now();
                     if self.was_accepted_here() {
-                        self.push_config(&mut link).await?;
+                        self.push_config(&mut connection).await?;
                     }
                 }
                 () = self.wait_behind(name) => {
-                    if pushed.elapsed() >= PUSH_PAUSE {
+                    if pushed.elapsed() >= MIN_PUSH_INTERVAL {
                         pushed = Instant::now();
-                        self.push_config(&mut link).await?;
+                        self.push_config(&mut connection).await?;
                     }
                 }
-                _ = beat.tick() => {
+                _ = heartbeats.tick() => {
                     sequence += 1;
                     let heartbeat = self.heartbeat(sequence).await;
-                    send(&mut link, Body::Heartbeat(heartbeat)).await?;
+                    send(&mut connection, Body::Heartbeat(heartbeat)).await?;
                 }
             }
         }
@@ -214,15 +217,15 @@
         }
     }
 
-    /// Asks `from` for the configuration that its heartbeat names, one question at a time.
+    /// Fetches the configuration that a heartbeat of `from` announced, one fetch at a time.
     fn fetch_newer(&self, from: &str) {
         let Some(addr) = self.settings.members.get(from).copied() else { return };
-        let Ok(permit) = self.fetching.clone().try_acquire_owned() else { return };
+        let Ok(permit) = self.fetch_permit.clone().try_acquire_owned() else { return };
         let peers = self.clone();
         let from = from.to_owned();
         tokio::spawn(async move {
             let have_version = peers.shared.config().version;
-            match fetch_config(addr, peers.hello(), have_version, FETCH_LIMIT).await {
+            match fetch_config(addr, peers.hello(), have_version, FETCH_TIMEOUT).await {
                 Ok(Some(push)) => peers.config_pushed(&push),
                 Ok(None) => {}
                 Err(error) => {
@@ -234,8 +237,9 @@
     }
 
     /// Guards against every daemon pushing every version to every other, which at 32 daemons would
-    /// show as 992 documents for one change: only the accepting daemon pushes at once. The others
-    /// send it, [`PUSH_PAUSE`] after it came to them, to whoever is still behind.
+    /// send 992 documents for one change. Only the daemon that accepted the change pushes it
+    /// immediately; the others push it to peers that are still behind, at least
+    /// [`MIN_PUSH_INTERVAL`] after they received it.
     fn was_accepted_here(&self) -> bool {
         self.shared.accepted_version() == self.shared.config().version
     }
@@ -247,11 +251,11 @@
         }
     }
 
-    /// Sends what is in force, with its last history entry only: peers need no more, and the whole
-    /// history is some ten times the document.
-    async fn push_config(&self, link: &mut PeerConnection) -> Result<(), Error> {
+    /// Sends the active configuration with only its last history entry: peers need no more, and the
+    /// whole history is about ten times the size of the document.
+    async fn push_config(&self, connection: &mut PeerConnection) -> Result<(), Error> {
         let Some(push) = self.newer_than(0) else { return Ok(()) };
-        send(link, Body::Config(push)).await
+        send(connection, Body::Config(push)).await
     }
 
     fn newer_than(&self, have_version: u64) -> Option<ConfigPush> {
@@ -259,16 +263,17 @@
         if config.version <= have_version {
             return None;
         }
-        let brief = VersionedConfig {
+        let latest = VersionedConfig {
             version: config.version,
             doc: config.doc.clone(),
             history: config.history.last().cloned().into_iter().collect(),
         };
-        let json = serde_json::to_string(&brief).ok()?;
+        let json = serde_json::to_string(&latest).ok()?;
         Some(ConfigPush { version: config.version, json })
     }
 
-    /// Digest of what is in force; a document is digested once and not with every heartbeat.
+    /// Digest of the active configuration, computed once per version rather than for every
+    /// heartbeat.
     fn digest(&self) -> u64 {
         let config = self.shared.config();
         let mut digested = self.digested.lock().unwrap_or_else(PoisonError::into_inner);
@@ -308,8 +313,8 @@
     }
 
     async fn listen(self, stream: TcpStream, stop: CancellationToken) {
-        let mut link = Framed::new(stream, FrameCodec::for_handshake());
-        let hello = tokio::time::timeout(HELLO_LIMIT, link.next()).await;
+        let mut connection = Framed::new(stream, FrameCodec::for_handshake());
+        let hello = tokio::time::timeout(HELLO_TIMEOUT, connection.next()).await;
         let Ok(Some(Ok(Frame { body: Some(Body::Hello(hello)) }))) = hello else { return };
         let known = self.settings.members.contains_key(&hello.instance);
         if !known || hello.protocol_version != PROTOCOL_VERSION {
@@ -317,12 +322,12 @@
                 protocol_version = hello.protocol_version; "");
             return;
         }
-        link.codec_mut().allow_full_frames();
+        connection.codec_mut().allow_full_frames();
         if hello.for_calls {
             let peers = self.clone();
             tokio::select! {
                 () = stop.cancelled() => {}
-                () = serve_peer_calls(link, move |have_version| peers.newer_than(have_version)) => {}
+                () = serve_peer_calls(connection, move |have_version| peers.newer_than(have_version)) => {}
             }
             return;
         }
@@ -330,7 +335,7 @@
         loop {
             let received = tokio::select! {
                 () = stop.cancelled() => return,
-                received = link.next() => received,
+                received = connection.next() => received,
             };
             match received {
                 Some(Ok(Frame { body: Some(Body::Heartbeat(heartbeat)) })) => {
@@ -340,17 +345,17 @@
                 Some(Ok(Frame { body: Some(Body::ConfigWanted(_)) })) => self.wake(&from),
                 Some(Ok(Frame { body: Some(Body::JobCall(call)) })) => {
                     let answer = crate::cells::answer_peer(&self.cells, &call).await;
-                    if send(&mut link, Body::JobAnswer(answer)).await.is_err() {
+                    if send(&mut connection, Body::JobAnswer(answer)).await.is_err() {
                         return;
                     }
                 }
                 Some(Ok(Frame { body: Some(Body::RecordWanted(wanted)) })) => {
                     let known = crate::relay::answer_lookup(&self.shared, &wanted);
-                    if send(&mut link, Body::RecordKnown(known)).await.is_err() {
+                    if send(&mut connection, Body::RecordKnown(known)).await.is_err() {
                         return;
                     }
                 }
-                // A later release may send what this one does not know.
+                // A later release may send frames that this one does not know.
                 Some(Ok(_)) => {}
                 Some(Err(error)) => {
                     log::warn!(event = "peer_frame_refused", peer = from.as_str(); "{error}");
@@ -382,7 +387,7 @@
             owners.peers.retain(|peer, _| live.contains(peer));
         }
         *self.shared.peers() = live;
-        self.compare(from, heartbeat.config_version, heartbeat.config_digest);
+        self.compare_versions(from, heartbeat.config_version, heartbeat.config_digest);
         let loads: BTreeMap<u32, u32> =
             heartbeat.loads.iter().map(|load| (load.upstream, load.in_flight)).collect();
         let event = DecideEvent::PeerLoads {
@@ -398,9 +403,9 @@
         }
     }
 
-    /// Guards against a push that was lost with its link: the version in a heartbeat shows it, and
-    /// whoever is behind gets the newest, by asking for it and by being sent it.
-    fn compare(&self, from: &str, version: u64, digest: u64) {
+    /// Guards against a push that was lost with its connection: the version in a heartbeat reveals
+    /// it. The daemon that is behind then fetches the newest version and is sent it as well.
+    fn compare_versions(&self, from: &str, version: u64, digest: u64) {
         let config = self.shared.config();
         if version < config.version {
             self.wake(from);
@@ -408,7 +413,7 @@
         if version > config.version {
             self.fetch_newer(from);
         }
-        // 0: an earlier release that sends no digest.
+        // Earlier releases send no digest, which is read as 0.
         if version == config.version && digest != 0 && digest != self.digest() {
             log::error!(event = "config_digest_differs", peer = from, config_version = version; "");
         }
@@ -432,9 +437,12 @@
     }
 }
 
-async fn send(link: &mut PeerConnection, body: Body) -> Result<(), Error> {
-    let sent = tokio::time::timeout(SEND_LIMIT, link.send(Frame { body: Some(body) })).await;
-    sent.unwrap_or_else(|_| Err(Error::new(ErrorKind::Unreachable, "peer takes no frames")))
+async fn send(connection: &mut PeerConnection, body: Body) -> Result<(), Error> {
+    let sent =
+        tokio::time::timeout(SEND_TIMEOUT, connection.send(Frame { body: Some(body) })).await;
+    sent.unwrap_or_else(|_| {
+        Err(Error::new(ErrorKind::Unreachable, "timed out sending a frame to the peer"))
+    })
 }
 
 fn names_under<'a>(prefix: &'a str, entries: &'a [Entry]) -> impl Iterator<Item = String> + 'a {
--- a/crates/agatesilld/src/settings/check.rs
+++ b/crates/agatesilld/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Ranges of settings, and what has to fit together.
+//! Validates the ranges of settings and the constraints between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -6,26 +6,26 @@
 
 use super::{Settings, SettingsError};
 
-/// Largest capacity of one worker, in thousandths of a processor: about 1,000 processors.
+/// Maximum CPU capacity of one worker in millicores: 1,000 processors.
 const MAX_CPU_MILLI: u64 = 1_000_000;
 
-/// Largest memory of one worker, in megabytes: 64 TB.
+/// Maximum memory of one worker in megabytes: 64 TB.
 const MAX_MEMORY_MB: u64 = 64_000_000;
 
-/// Most accelerators of one worker.
+/// Maximum number of accelerators of one worker.
 const MAX_ACCELERATORS: u64 = 1_024;
 
-/// A numeric setting and what it may be.
+/// A numeric setting with its allowed range.
 #[derive(Debug)]
 pub struct Limit {
     /// Path of the key.
     pub key: String,
-    /// The value.
+    /// The configured value.
     pub value: u64,
-    /// The least that it may be.
-    pub least: u64,
-    /// The most that it may be.
-    pub most: u64,
+    /// The smallest allowed value.
+    pub min: u64,
+    /// The largest allowed value.
+    pub max: u64,
 }
 
 struct Checker<'a> {
@@ -33,7 +33,7 @@
 }
 
 impl Checker<'_> {
-    fn outside(&self, key: &str, value: &dyn Display, range: &str) -> SettingsError {
+    fn out_of_range(&self, key: &str, value: &dyn Display, range: &str) -> SettingsError {
         SettingsError::Range {
             file: self.file.to_owned(),
             key: key.to_owned(),
@@ -43,13 +43,13 @@
     }
 }
 
-/// Returns the first problem found.
+/// Validates all settings and returns the first error.
 pub fn check(file: &str, settings: &Settings) -> Result<(), SettingsError> {
     let checker = Checker { file };
     for limit in limits(settings) {
-        if !(limit.least..=limit.most).contains(&limit.value) {
-            let range = format!("{}..={}", limit.least, limit.most);
-            return Err(checker.outside(&limit.key, &limit.value, &range));
+        if !(limit.min..=limit.max).contains(&limit.value) {
+            let range = format!("{}..={}", limit.min, limit.max);
+            return Err(checker.out_of_range(&limit.key, &limit.value, &range));
         }
     }
     check_names(&checker, settings)?;
@@ -58,11 +58,11 @@
     check_level(&checker, &settings.log.level)
 }
 
-/// All numeric settings with their ranges, some of which depend on others.
+/// All numeric settings with their ranges. Some ranges depend on other settings.
 pub fn limits(settings: &Settings) -> Vec<Limit> {
     let mut limits = Vec::new();
-    let mut add = |key: &str, value: u64, least: u64, most: u64| {
-        limits.push(Limit { key: key.to_owned(), value, least, most });
+    let mut add = |key: &str, value: u64, min: u64, max: u64| {
+        limits.push(Limit { key: key.to_owned(), value, min, max });
     };
     let entry = &settings.entry;
     add("entry.relay_threads", entry.relay_threads as u64, 1, 64);
@@ -93,7 +93,8 @@
     limits
 }
 
-/// Slots beyond the connections to an upstream would be reserved and never usable.
+/// Limits the slots of an upstream to the connections to it: more would be reserved but never
+/// usable.
 fn add_pools(settings: &Settings, add: &mut impl FnMut(&str, u64, u64, u64)) {
     let connections = settings.upstreams.connections as u64;
     for (name, pool) in &settings.pools {
@@ -106,9 +107,14 @@
 
 fn add_cells(settings: &Settings, add: &mut impl FnMut(&str, u64, u64, u64)) {
     for (name, cell) in &settings.cells {
-        let least_ms = cell.poll_ms.saturating_mul(2);
+        let min_lease_ms = cell.poll_ms.saturating_mul(2);
         add(&format!("cells.{name}.poll_ms"), cell.poll_ms, 10, 60_000);
-        add(&format!("cells.{name}.attempt_lease_ms"), cell.attempt_lease_ms, least_ms, 600_000);
+        add(
+            &format!("cells.{name}.attempt_lease_ms"),
+            cell.attempt_lease_ms,
+            min_lease_ms,
+            600_000,
+        );
         add(&format!("cells.{name}.outage_renew_ms"), cell.outage_renew_ms, 0, 86_400_000);
         for (nth, worker) in cell.workers.iter().enumerate() {
             let key = |field: &str| format!("cells.{name}.workers.{nth}.capacity.{field}");
@@ -122,16 +128,16 @@
 fn check_names(checker: &Checker<'_>, settings: &Settings) -> Result<(), SettingsError> {
     for (key, value) in [("instance", &settings.instance), ("zone", &settings.zone)] {
         if value.is_empty() || value.len() > 64 {
-            return Err(checker.outside(key, &format!("{value:?}"), "1..=64 characters"));
+            return Err(checker.out_of_range(key, &format!("{value:?}"), "1..=64 characters"));
         }
     }
     Ok(())
 }
 
-/// Every address that something listens on is used once; port 0 means any free one.
+/// Requires that all listening addresses are distinct. Port 0, any free port, may repeat.
 fn check_addresses(checker: &Checker<'_>, settings: &Settings) -> Result<(), SettingsError> {
     let mut used: BTreeMap<SocketAddr, String> = BTreeMap::new();
-    let own = [
+    let own_addresses = [
         ("entry.addr", settings.entry.addr),
         ("admin.addr", settings.admin.addr),
         ("peers.addr", settings.peers.addr),
@@ -146,12 +152,18 @@
     let upstreams = settings.pools.iter().flat_map(|(name, pool)| {
         pool.iter()
             .enumerate()
-            .map(move |(nth, one)| (format!("pools.{name}.{nth}.addr"), one.addr))
+            .map(move |(nth, upstream)| (format!("pools.{name}.{nth}.addr"), upstream.addr))
     });
-    let own = own.into_iter().map(|(key, addr)| (key.to_owned(), addr));
-    for (key, addr) in own.chain(members).chain(upstreams).filter(|(_, addr)| addr.port() != 0) {
+    let own_addresses = own_addresses.into_iter().map(|(key, addr)| (key.to_owned(), addr));
+    for (key, addr) in
+        own_addresses.chain(members).chain(upstreams).filter(|(_, addr)| addr.port() != 0)
+    {
         if let Some(first) = used.insert(addr, key.clone()) {
-            return Err(checker.outside(&key, &addr, &format!("addresses not used by {first}")));
+            return Err(checker.out_of_range(
+                &key,
+                &addr,
+                &format!("an address other than that of {first}"),
+            ));
         }
     }
     Ok(())
@@ -163,7 +175,11 @@
         for (nth, upstream) in pool.iter().enumerate() {
             if !ids.insert(upstream.id) {
                 let key = format!("pools.{name}.{nth}.id");
-                return Err(checker.outside(&key, &upstream.id, "ids not used before"));
+                return Err(checker.out_of_range(
+                    &key,
+                    &upstream.id,
+                    "an id that is not used elsewhere",
+                ));
             }
         }
     }
@@ -172,7 +188,11 @@
         for (nth, worker) in cell.workers.iter().enumerate() {
             if !ids.insert(worker.id) {
                 let key = format!("cells.{name}.workers.{nth}.id");
-                return Err(checker.outside(&key, &worker.id, "ids not used before"));
+                return Err(checker.out_of_range(
+                    &key,
+                    &worker.id,
+                    "an id that is not used elsewhere",
+                ));
             }
         }
     }
@@ -183,5 +203,5 @@
     if ["off", "error", "warn", "info", "debug"].contains(&level) {
         return Ok(());
     }
-    Err(checker.outside("log.level", &format!("{level:?}"), "off, error, warn, info, debug"))
+    Err(checker.out_of_range("log.level", &format!("{level:?}"), "off, error, warn, info or debug"))
 }
--- a/crates/agatesilld/src/settings/keys.rs
+++ b/crates/agatesilld/src/settings/keys.rs
@@ -1,10 +1,10 @@
-//! All keys that settings know, also those that a file leaves at their defaults.
+//! The known settings keys, including those that a file leaves at their defaults.
 
 use super::Settings;
 use super::check::limits;
 
-/// One of everything, so that no section is empty; `*` stands for names that operators choose.
-const SPECIMEN: &str = "
+/// Settings with one entry in every section; `*` stands for names that operators choose.
+const SAMPLE: &str = "
 instance: i
 zone: z
 entry: { addr: 127.0.0.1:1 }
@@ -20,8 +20,8 @@
       - { id: 1, capacity: { cpu_milli: 1, memory_mb: 1, accelerators: 0 }, rack: r, zone: z }
 ";
 
-/// The path of the known key that `key` was most likely meant to be: the nearest name in the same
-/// section, or anywhere when none there is near.
+/// The known key that `key` was most likely meant to be: the name with the smallest edit distance,
+/// with a penalty for names in another section.
 pub fn nearest(key: &str) -> String {
     let key = &key.replace('[', ".").replace(']', "");
     let (section, name) = split(key);
@@ -34,16 +34,17 @@
     known.into_iter().min_by_key(distance).unwrap_or_default()
 }
 
-/// The range of a numeric key, as far as it does not depend on other settings.
+/// The range of a numeric key. Bounds that depend on other settings are computed from the defaults
+/// of those.
 pub fn range(key: &str) -> Option<String> {
     let key = key.replace('[', ".").replace(']', "");
-    let limits = limits(&specimen()?);
+    let limits = limits(&sample_settings()?);
     let limit = limits.into_iter().find(|limit| same_section(&key, &limit.key))?;
-    Some(format!("{}..={}", limit.least, limit.most))
+    Some(format!("{}..={}", limit.min, limit.max))
 }
 
-fn specimen() -> Option<Settings> {
-    serde_yaml_ng::from_str(SPECIMEN).ok()
+fn sample_settings() -> Option<Settings> {
+    serde_yaml_ng::from_str(SAMPLE).ok()
 }
 
 fn split(key: &str) -> (&str, &str) {
@@ -62,11 +63,11 @@
     }
 }
 
-/// Paths of all keys, in the order of the file.
+/// Paths of all keys.
 pub fn known_keys() -> Vec<String> {
-    // Left out when settings are written, so that no secret is shown.
+    // Tokens are not serialised, so that no secret is shown.
     let mut known = vec!["admin.tokens".to_owned()];
-    if let Some(settings) = specimen() {
+    if let Some(settings) = sample_settings() {
         collect(&serde_json::to_value(settings).unwrap_or_default(), "", &mut known);
     }
     known
--- a/crates/agatesilld/src/settings/mod.rs
+++ b/crates/agatesilld/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon, read from a YAML file whose sections these structs mirror.
+//! Settings of one daemon, read from a YAML file. The structs mirror its sections.
 
 mod check;
 mod keys;
@@ -14,24 +14,24 @@
 pub use read::{SettingsError, parse, read};
 
 value_type! {
-    /// The whole file.
+    /// The settings file.
     pub struct Settings {
         /// Name of this instance, unique among the daemons.
         pub instance: String,
         /// Availability zone of this instance.
         pub zone: String,
-        /// Entry for callers.
+        /// Listener for callers.
         pub entry: EntrySettings,
-        /// Entry for operators.
+        /// Admin interface for operators.
         pub admin: AdminSettings,
-        /// Links to the other daemons.
+        /// Connections to the other daemons.
         pub peers: PeerSettings,
         /// The platform's key-value service.
         pub store: StoreSettings,
-        /// Pools of upstreams by name.
+        /// Upstream pools by name.
         #[serde(default)]
         pub pools: BTreeMap<String, Vec<UpstreamSettings>>,
-        /// Cells of workers by name.
+        /// Worker cells by name.
         #[serde(default)]
         pub cells: BTreeMap<String, CellSettings>,
         /// Connections to upstreams.
@@ -40,44 +40,44 @@
         /// Records of non-repeatable requests.
         #[serde(default)]
         pub records: RecordSettings,
-        /// Logs.
+        /// Logging.
         #[serde(default)]
         pub log: LogSettings,
     }
 }
 
 value_type! {
-    /// Entry for callers.
+    /// Listener for callers.
     pub struct EntrySettings {
-        /// Where callers connect.
+        /// Address on which callers connect.
         pub addr: SocketAddr,
-        /// Threads that relay requests.
+        /// Number of threads that relay requests.
         #[serde(default = "default_relay_threads")]
         pub relay_threads: usize,
-        /// How long in-flight requests may take to finish at a planned stop.
+        /// Time that in-flight requests get to finish during a graceful shutdown.
         #[serde(default = "default_drain_ms")]
         pub drain_ms: u64,
-        /// How long the balancer may take to see that this instance is no longer ready; callers
-        /// are accepted for that long after a planned stop began.
+        /// Time until the load balancer notices that this instance is no longer ready. Callers are
+        /// accepted for that long after a graceful shutdown has begun.
         #[serde(default = "default_balancer_lag_ms")]
         pub balancer_lag_ms: u64,
-        /// Connections of callers at once.
+        /// Maximum number of concurrent caller connections.
         #[serde(default = "default_max_connections")]
         pub max_connections: usize,
-        /// How long a caller may take over a head, and how long an idle connection is kept.
+        /// Timeout for receiving a request head, and for idle connections.
         #[serde(default = "default_head_ms")]
         pub head_ms: u64,
-        /// How long a caller may take over the buffered part of a body.
+        /// Timeout for receiving the buffered part of a body.
         #[serde(default = "default_body_ms")]
         pub body_ms: u64,
-        /// How long a caller may take nothing of an answer that waits for it.
+        /// Timeout for a caller that reads nothing of a pending answer.
         #[serde(default = "default_stall_ms")]
         pub stall_ms: u64,
-        /// Largest body of a request.
+        /// Maximum size of a request body.
         #[serde(default = "default_max_body_bytes")]
         pub max_body_bytes: u64,
-        /// Bodies up to this are held, so that a repeatable request can be sent again; larger ones
-        /// are passed on as they arrive.
+        /// Bodies up to this size are buffered, so that a repeatable request can be retried. Larger
+        /// bodies are streamed.
         #[serde(default = "default_buffer_bytes")]
         pub buffer_bytes: usize,
     }
@@ -86,10 +86,10 @@
 value_type! {
     /// Connections to upstreams.
     pub struct UpstreamLimits {
-        /// Connections to one upstream, shared by all live daemons.
+        /// Maximum number of connections to one upstream, shared by all live daemons.
         #[serde(default = "default_connections")]
         pub connections: usize,
-        /// How long a connection may take to open.
+        /// Connect timeout.
         #[serde(default = "default_connect_ms")]
         pub connect_ms: u64,
     }
@@ -104,13 +104,14 @@
 value_type! {
     /// Records of non-repeatable requests.
     pub struct RecordSettings {
-        /// How long the outcome of one is kept for repeats.
+        /// Time for which an outcome is kept for repeated requests.
         #[serde(default = "default_keep_ms")]
         pub keep_ms: u64,
-        /// Memory for kept answers.
+        /// Maximum memory for recorded answers.
         #[serde(default = "default_record_bytes")]
         pub max_bytes: usize,
-        /// How long one may run on after its caller's deadline, so that its outcome is known.
+        /// Time for which a request may continue after its caller's deadline, so that its outcome
+        /// becomes known.
         #[serde(default = "default_settle_ms")]
         pub settle_ms: u64,
     }
@@ -127,36 +128,38 @@
 }
 
 value_type! {
-    /// Entry for operators.
+    /// Admin interface for operators.
     pub struct AdminSettings {
-        /// Where operators connect; loopback unless set otherwise.
+        /// Address on which operators connect. Use a loopback address unless operators connect
+        /// remotely.
         pub addr: SocketAddr,
-        /// Tokens by operator's name; empty means that names alone are believed.
-        /// Never written out again, so that `--check` shows no secret.
+        /// Tokens by operator name. If empty, names are accepted without authentication.
+        /// Never serialised, so that `--check` shows no secret.
         #[serde(default, skip_serializing)]
         pub tokens: BTreeMap<String, String>,
-        /// Whether a change that sells more than the floor holds is refused, not only warned of.
+        /// Whether a configuration change that promises more than the capacity of the workers and
+        /// upstreams is rejected. Otherwise it only causes a warning.
         #[serde(default)]
         pub refuse_beyond_floor: bool,
     }
 }
 
 value_type! {
-    /// Links to the other daemons.
+    /// Connections to the other daemons.
     pub struct PeerSettings {
-        /// Where peers connect.
+        /// Address on which peers connect.
         pub addr: SocketAddr,
-        /// The other daemons by instance name.
+        /// Addresses of the daemons by instance name.
         #[serde(default)]
         pub members: BTreeMap<String, SocketAddr>,
-        /// Their availability zones. Slots are owned by zone only where that of every member is
-        /// named, and all daemons must name the same.
+        /// Availability zones of the daemons. Slots are owned by zone only if the zone of every
+        /// member is listed. The list must be the same on all daemons.
         #[serde(default)]
         pub zones: BTreeMap<String, String>,
-        /// Time between heartbeats.
+        /// Interval between heartbeats.
         #[serde(default = "default_heartbeat_ms")]
         pub heartbeat_ms: u64,
-        /// Silence after which a peer counts as gone.
+        /// Time without a heartbeat after which a peer counts as disconnected.
         #[serde(default = "default_suspect_ms")]
         pub suspect_ms: u64,
     }
@@ -165,18 +168,18 @@
 value_type! {
     /// The platform's key-value service.
     pub struct StoreSettings {
-        /// Where it answers.
+        /// Address of the store.
         pub addr: SocketAddr,
         /// Time to live of this instance's lease.
         #[serde(default = "default_lease_ms")]
         pub lease_ms: u64,
-        /// Time between renewals.
+        /// Interval between lease renewals.
         #[serde(default = "default_renew_ms")]
         pub renew_ms: u64,
-        /// Time over which ledger changes are gathered into one write.
+        /// Interval of group commits, over which ledger changes are collected into one write.
         #[serde(default = "default_commit_ms")]
         pub commit_ms: u64,
-        /// Calls a second that this daemon may make.
+        /// Maximum number of calls a second from this daemon.
         #[serde(default = "default_calls_per_s")]
         pub calls_per_s: u32,
     }
@@ -185,11 +188,11 @@
 value_type! {
     /// One upstream of a pool.
     pub struct UpstreamSettings {
-        /// Identity within the pool.
+        /// Id of the upstream, unique over all pools.
         pub id: UpstreamId,
-        /// Where it answers.
+        /// Address of the upstream.
         pub addr: SocketAddr,
-        /// Requests that it runs at once.
+        /// Number of requests that it runs concurrently.
         pub slots: u32,
         /// Its availability zone.
         pub zone: String,
@@ -199,16 +202,17 @@
 value_type! {
     /// One cell of workers.
     pub struct CellSettings {
-        /// Where the platform's interface to these workers answers.
+        /// Address of the platform's interface to these workers.
         pub addr: SocketAddr,
-        /// Lease of an attempt.
+        /// Duration of an attempt's lease.
         #[serde(default = "default_attempt_lease_ms")]
         pub attempt_lease_ms: u64,
-        /// Time between calls to one worker.
+        /// Interval between calls to one worker.
         #[serde(default = "default_poll_ms")]
         pub poll_ms: u64,
-        /// How long an owner that the store cannot confirm goes on renewing what runs; a successor
-        /// waits that long for a worker that it cannot reach before it takes its attempts for lost.
+        /// Time for which an owner keeps renewing running attempts while the store cannot confirm
+        /// its ownership. A new owner waits that long for an unreachable worker before it declares
+        /// the worker's attempts lost.
         #[serde(default = "default_outage_renew_ms")]
         pub outage_renew_ms: u64,
         /// The workers.
@@ -217,11 +221,11 @@
 }
 
 value_type! {
-    /// Logs.
+    /// Logging.
     pub struct LogSettings {
-        /// Least level that is written: error, warn, info, debug or off.
+        /// Minimum level that is logged: error, warn, info, debug or off.
         pub level: String,
-        /// File to append to; empty means standard error.
+        /// File to append to; empty for standard error.
         #[serde(default)]
         pub path: String,
     }
--- a/crates/agatesilld/src/settings/read.rs
+++ b/crates/agatesilld/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reading the file: shape, unknown keys, then ranges.
+//! Reads the settings file and validates its structure, its keys and then the ranges of values.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use super::check::check;
 use super::keys::{nearest, range};
 
-/// Why settings cannot be used.
+/// Why a settings file was rejected.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -19,43 +19,43 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The file is not YAML, or a value is of the wrong shape or a key is missing.
+    /// The file is not YAML, a value has the wrong type, or a key is missing.
     #[snafu(display("{file}: {key}: {message}{hint}"))]
     Shape {
         /// The file.
         file: String,
         /// Path of the key.
         key: String,
-        /// What is wrong.
+        /// The parser's message.
         message: String,
-        /// What would be right, where that can be told.
+        /// The expected value, if known.
         hint: String,
     },
-    /// A key is not known.
-    #[snafu(display("{file}: {key}: unknown key; the nearest known one is {nearest}"))]
+    /// The file contains an unknown key.
+    #[snafu(display("{file}: {key}: unknown key; did you mean {nearest}?"))]
     UnknownKey {
         /// The file.
         file: String,
         /// Path of the key.
         key: String,
-        /// The nearest known key.
+        /// The closest known key.
         nearest: String,
     },
-    /// A value lies outside its range.
-    #[snafu(display("{file}: {key}: {value} is outside {range}"))]
+    /// A value is not allowed.
+    #[snafu(display("{file}: {key}: {value} is not allowed; expected {range}"))]
     Range {
         /// The file.
         file: String,
         /// Path of the key.
         key: String,
-        /// The value.
+        /// The rejected value.
         value: String,
-        /// The allowed range.
+        /// The allowed values.
         range: String,
     },
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 pub fn read(path: &Path) -> Result<Settings, SettingsError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -63,7 +63,7 @@
     parse(&file, &text)
 }
 
-/// Parses and checks settings; `file` only names them in errors.
+/// Parses and validates settings. `file` is only used in error messages.
 pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
     let mut unknown = Vec::new();
     let mut track = serde_path_to_error::Track::new();
@@ -72,7 +72,7 @@
         serde_path_to_error::Deserializer::new(deserializer, &mut track),
         |path| unknown.push(path.to_string()),
     );
-    // An unknown key comes first: a missing one is often the same key misspelt.
+    // Unknown keys are reported first, because a missing key is often the same key misspelt.
     if let Some(key) = unknown.into_iter().next() {
         return Err(unknown_key(file, key));
     }
@@ -91,13 +91,13 @@
     SettingsError::UnknownKey { file: file.to_owned(), key, nearest }
 }
 
-/// What the key may be. A number with a unit is the likeliest mistake where a plain one is meant.
+/// Describes the expected value of a key. The most likely mistake is a number with a unit.
 fn hint(key: &str, message: &str) -> String {
     if message.starts_with("missing field") {
         return String::new();
     }
     if key.ends_with("addr") || message.contains("socket address") {
-        return "; give an IP number and a port, such as 127.0.0.1:7100".to_owned();
+        return "; use an IP address and a port, such as 127.0.0.1:7100".to_owned();
     }
     let unit = match key.rsplit('_').next() {
         Some("ms") => " of milliseconds",
@@ -107,7 +107,7 @@
         _ => "",
     };
     match range(key) {
-        Some(range) => format!("; give a plain number{unit} within {range}"),
+        Some(range) => format!("; use a plain number{unit} in {range}"),
         None => String::new(),
     }
 }
--- a/crates/agatesilld/src/shared.rs
+++ b/crates/agatesilld/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of one daemon share: the configuration in force and counters.
+//! State shared by the threads of one daemon, such as the active configuration and counters.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -12,54 +12,54 @@
 use crate::relay::record::{Claim, Records, RunOutcome};
 use crate::settings::RecordSettings;
 
-/// A count that several threads raise.
+/// A counter that several threads increment.
 #[derive(Debug, Default)]
 pub struct Count(AtomicU64);
 
 impl Count {
-    /// Raises the count by one.
+    /// Increments the counter.
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The count since the start.
+    /// The number of increments since the start.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// What the rings and limits of one daemon turned away since its start.
+/// Requests, calls and connections rejected by the rings and limits of one daemon since its start.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests refused because the ring to the deciding thread was full.
+    /// Requests refused because the ring to the decision thread was full.
     pub decide_ring_full: Count,
-    /// Calls refused because the ring to the batch duty was full.
+    /// Calls refused because the ring to the cell manager was full.
     pub cell_ring_full: Count,
     /// Connections refused because `entry.max_connections` was reached.
     pub connections_refused: Count,
-    /// Connections closed because no whole head came in time.
+    /// Connections closed because no complete request head was received in time.
     pub heads_timed_out: Count,
 }
 
-/// Cells and who owns them; a hint only, the store decides.
+/// Cells and their owners. Only a hint; the store is authoritative.
 #[derive(Debug, Default)]
 pub struct Owners {
     /// All cells of the settings.
     pub all: BTreeSet<String>,
-    /// Cells owned here.
+    /// Cells that this instance owns.
     pub own: BTreeSet<String>,
-    /// Cells by the peer whose newest heartbeat names them.
+    /// Cells of each peer, from its latest heartbeat.
     pub peers: BTreeMap<String, BTreeSet<String>>,
 }
 
 impl Owners {
-    /// The peer that says it owns `cell`.
+    /// The peer that reports that it owns `cell`.
     pub fn peer_of(&self, cell: &str) -> Option<String> {
         let owner = self.peers.iter().find(|(_, cells)| cells.contains(cell));
         owner.map(|(instance, _)| instance.clone())
     }
 
-    /// Cells of which nobody says that he owns them.
+    /// Cells that no daemon reports to own.
     pub fn unowned(&self) -> Vec<String> {
         let owned = |cell: &&String| {
             self.own.contains(*cell) || self.peers.values().any(|cells| cells.contains(*cell))
@@ -68,7 +68,7 @@
     }
 }
 
-/// State that several threads of one daemon read; clones share it.
+/// State shared by the threads of one daemon; clones refer to the same state.
 #[derive(Clone, Debug)]
 pub struct Shared {
     config: Arc<watch::Sender<Arc<VersionedConfig>>>,
@@ -86,7 +86,8 @@
 }
 
 impl Shared {
-    /// Nothing in force yet; records within the limits of `records`.
+    /// Creates the state without an active configuration, with records within the limits of
+    /// `records`.
     pub fn new(records: &RecordSettings) -> Self {
         Self {
             leaving: Arc::default(),
@@ -104,22 +105,22 @@
         }
     }
 
-    /// What was turned away.
+    /// Counters of rejected requests, calls and connections.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Upstreams that gave this daemon itself a sign of leaving.
+    /// Upstreams that announced to this daemon directly that they are leaving.
     pub fn leaving(&self) -> MutexGuard<'_, BTreeSet<UpstreamId>> {
         self.leaving.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a first attempt in; see [`Records::begin`].
+    /// Begins the record of a first attempt; see [`Records::begin`].
     pub fn begin_record(&self, key: &str, fingerprint: u64) -> Claim {
         self.records().begin(key, fingerprint, self.now_ms())
     }
 
-    /// Answers a later attempt; see [`Records::claim`].
+    /// Claims the record for a later attempt; see [`Records::claim`].
     pub fn claim_record(&self, key: &str, fingerprint: u64) -> Claim {
         self.records().claim(key, fingerprint, self.now_ms())
     }
@@ -129,7 +130,7 @@
         self.records().adopt(key, fingerprint)
     }
 
-    /// Records how a run ended; see [`Records::settle`].
+    /// Records the outcome of a run; see [`Records::settle`].
     pub fn settle_record(&self, key: &str, how: RunOutcome) {
         self.records().settle(key, how, self.now_ms());
     }
@@ -143,20 +144,20 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     pub fn config(&self) -> Arc<VersionedConfig> {
         self.config.borrow().clone()
     }
 
-    /// Notices of later configurations.
+    /// Notifies of later configurations.
     pub fn config_changes(&self) -> watch::Receiver<Arc<VersionedConfig>> {
         self.config.subscribe()
     }
 
-    /// Puts a configuration in force if it is newer; true when it was.
+    /// Activates a configuration if it is newer than the active one; returns whether it was.
     ///
-    /// Guards against a configuration that reverts, which would show as an old promise coming
-    /// back after a stale read or a late push: versions in force only rise.
+    /// Guards against a configuration that reverts, for example to an earlier latency objective
+    /// after a stale read or a late push: the active version only increases.
     pub fn apply_config(&self, next: VersionedConfig) -> bool {
         self.config.send_if_modified(|current| {
             if next.version <= current.version {
@@ -167,52 +168,52 @@
         })
     }
 
-    /// Counters by service.
+    /// Status and counters by service.
     pub fn services(&self) -> MutexGuard<'_, BTreeMap<String, ServiceStatus>> {
         self.services.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The cells owned here.
+    /// Status of the cells that this instance owns, by name.
     pub fn cells(&self) -> MutexGuard<'_, BTreeMap<String, CellStatus>> {
         self.cells.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Who owns which cell, as far as heartbeats tell.
+    /// Owners of the cells, as reported by heartbeats.
     pub fn owners(&self) -> MutexGuard<'_, Owners> {
         self.owners.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Peers that are heard.
+    /// Live peers.
     pub fn peers(&self) -> MutexGuard<'_, Vec<String>> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Version by which the deciding thread serves; 0 before the first.
+    /// Version that the decision thread uses; 0 before the first.
     pub fn served_version(&self) -> u64 {
         self.served_version.load(Ordering::Relaxed)
     }
 
-    /// Records that the deciding thread serves by `version`.
+    /// Records that the decision thread uses `version`.
     pub fn set_served_version(&self, version: u64) {
         self.served_version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Newest version that was accepted at this daemon; 0 when none was.
+    /// Newest version that was accepted at this daemon; 0 if there is none.
     pub fn accepted_version(&self) -> u64 {
         self.accepted_version.load(Ordering::Acquire)
     }
 
-    /// Records that `version` was accepted here; call it before the version is in force.
+    /// Records that `version` was accepted here. Call this before the version is activated.
     pub fn set_accepted_version(&self, version: u64) {
         self.accepted_version.fetch_max(version, Ordering::AcqRel);
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
--- a/crates/agatesilld/tests/cells.rs
+++ b/crates/agatesilld/tests/cells.rs
@@ -1,4 +1,5 @@
-//! The batch duty of real daemons: what submitters are told and what the workers' books show.
+//! Cell manager of real daemon processes, checked by the answers to submitters and the workers'
+//! audit log.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,15 +14,15 @@
 use agatesilld::prelude::Settings;
 use hyper::Method;
 
-/// Generous limit of every wait; no verdict depends on it but that something never happens.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of every wait, long enough not to depend on the speed of the machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-struct Floor {
-    world: Simulation,
+struct Cluster {
+    harness: Simulation,
     client: JsonClient,
 }
 
-impl Floor {
+impl Cluster {
     async fn start(daemons: usize) -> Self {
         Self::start_with(daemons, batch::settings()).await
     }
@@ -29,22 +30,22 @@
     async fn start_with(daemons: usize, base: Settings) -> Self {
         let binary = PathBuf::from(env!("CARGO_BIN_EXE_agatesilld"));
         let options = SimulationOptions { binary, base, daemons };
-        let floor = Self {
-            world: Simulation::start(&options).await.unwrap(),
+        let cluster = Self {
+            harness: Simulation::start(&options).await.unwrap(),
             client: JsonClient::default(),
         };
         let change = batch::config_change(1);
-        let made: VersionedConfig = floor.ask_until(Method::POST, 0, "/v1/config", &change).await;
+        let made: VersionedConfig = cluster.ask_until(Method::POST, 0, "/v1/config", &change).await;
         for nth in 0..daemons {
             loop {
                 let seen: VersionedConfig =
-                    floor.ask_until(Method::GET, nth, "/v1/config", &()).await;
+                    cluster.ask_until(Method::GET, nth, "/v1/config", &()).await;
                 if seen.version >= made.version {
                     break;
                 }
             }
         }
-        floor
+        cluster
     }
 
     async fn ask<R: serde::de::DeserializeOwned>(
@@ -54,7 +55,7 @@
         path: &str,
         body: &impl serde::Serialize,
     ) -> Result<R, Error> {
-        let addr = self.world.daemons[nth].admin_addr;
+        let addr = self.harness.daemons[nth].admin_addr;
         self.client.call(method, addr, path, body, Duration::from_secs(5)).await
     }
 
@@ -69,7 +70,7 @@
         loop {
             match self.ask(method.clone(), nth, path, body).await {
                 Ok(answer) => return answer,
-                Err(error) => assert!(started.elapsed() < LIMIT, "{path}: {error}"),
+                Err(error) => assert!(started.elapsed() < WAIT_TIMEOUT, "{path}: {error}"),
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -90,7 +91,7 @@
             if status.is_finished() {
                 return status;
             }
-            assert!(started.elapsed() < LIMIT, "{id} never ended: {status:?}");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{id} never ended: {status:?}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -104,64 +105,64 @@
     serde_json::from_value(spec).unwrap()
 }
 
-/// A submitter is told that a job is accepted, and the daemon dies in the same moment. The job
-/// was lost when the answer went out before the record was in the store.
+/// Every daemon is killed right after its jobs are accepted. Guards against jobs that are lost
+/// because the answer was sent before the record was stored.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_accepted_job_survives_the_death_of_every_daemon() {
-    let floor = Floor::start(2).await;
+async fn an_accepted_job_survives_a_crash_of_every_daemon() {
+    let cluster = Cluster::start(2).await;
     for nth in 0..4 {
-        floor.submit(nth % 2, &job(&format!("night-{nth}"), 2, 100)).await;
+        cluster.submit(nth % 2, &job(&format!("night-{nth}"), 2, 100)).await;
     }
-    floor.world.daemons.iter().for_each(|daemon| daemon.kill());
-    for daemon in &floor.world.daemons {
+    cluster.harness.daemons.iter().for_each(|daemon| daemon.kill());
+    for daemon in &cluster.harness.daemons {
         daemon.start().unwrap();
     }
     for nth in 0..4 {
-        let ended = floor.await_outcome(0, &format!("night-{nth}")).await;
+        let ended = cluster.await_outcome(0, &format!("night-{nth}")).await;
         assert_eq!(ended.outcome, "done");
     }
-    let books = floor.world.workers.audit();
-    assert_eq!((books.double_runs, books.starts_after_success), (0, 0));
+    let audit = cluster.harness.workers.audit();
+    assert_eq!((audit.double_runs, audit.starts_after_success), (0, 0));
 }
 
-/// A submitter whose answer was lost sends the job again, to whichever daemon the balancer picks.
-/// It must be the same job, run once; another job under the same name must be told apart.
+/// A submitter whose answer was lost submits the job again, to any daemon. It must be the same job,
+/// run once. A different job under the same id must be refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_submission_is_idempotent_at_every_daemon() {
-    let floor = Floor::start(3).await;
+    let cluster = Cluster::start(3).await;
     let spec = job("bills", 3, 100);
-    let first = floor.submit(0, &spec).await;
+    let first = cluster.submit(0, &spec).await;
     for nth in 0..3 {
-        let again = floor.submit(nth, &spec).await;
+        let again = cluster.submit(nth, &spec).await;
         assert_eq!((again.cell.as_str(), again.accepted_ms), (&*first.cell, first.accepted_ms));
     }
     let other: Result<JobStatus, Error> =
-        floor.ask(Method::POST, 1, "/v1/jobs", &job("bills", 4, 100)).await;
+        cluster.ask(Method::POST, 1, "/v1/jobs", &job("bills", 4, 100)).await;
     assert_eq!(other.unwrap_err().kind, ErrorKind::Conflict);
-    floor.await_outcome(2, "bills").await;
-    assert_eq!(floor.world.workers.audit().starts, 3);
-    let all: Vec<JobStatus> = floor.ask_until(Method::GET, 2, "/v1/jobs", &()).await;
+    cluster.await_outcome(2, "bills").await;
+    assert_eq!(cluster.harness.workers.audit().starts, 3);
+    let all: Vec<JobStatus> = cluster.ask_until(Method::GET, 2, "/v1/jobs", &()).await;
     assert_eq!(all.len(), 1);
-    let why: JobExplanation = floor.ask_until(Method::GET, 1, "/v1/explain/job/bills", &()).await;
+    let why: JobExplanation = cluster.ask_until(Method::GET, 1, "/v1/explain/job/bills", &()).await;
     assert_eq!(why.job.outcome, "done");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn bad_and_impossible_jobs_are_refused_with_field_and_limit() {
-    let floor = Floor::start(1).await;
-    floor.submit(0, &job("fine", 1, 10)).await;
+    let cluster = Cluster::start(1).await;
+    cluster.submit(0, &job("fine", 1, 10)).await;
     let refused = async |spec: JobSpec| {
-        // A daemon that has just started may not own every cell yet and says so; ask it again.
+        // A daemon that has just started may not own every cell yet and says so; retry then.
         for _ in 0..1_000 {
             let answer: Result<JobStatus, Error> =
-                floor.ask(Method::POST, 0, "/v1/jobs", &spec).await;
+                cluster.ask(Method::POST, 0, "/v1/jobs", &spec).await;
             match answer.unwrap_err() {
                 error if error.kind == ErrorKind::NoUpstream => {}
                 error => return error,
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        panic!("the cells have no owner");
+        panic!("the cells still have no owner");
     };
     let error = refused(job("none", 0, 10)).await;
     assert_eq!(error.kind, ErrorKind::BadRequest);
@@ -179,140 +180,142 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_job_that_waits_for_another_stands_in_its_cell_and_starts_after_it() {
-    let floor = Floor::start(2).await;
-    let first = floor.submit(0, &job("first", 1, 300)).await;
+async fn a_dependent_job_joins_the_cell_of_its_dependency_and_starts_after_it() {
+    let cluster = Cluster::start(2).await;
+    let first = cluster.submit(0, &job("first", 1, 300)).await;
     let then = JobSpec { after: vec!["first".to_owned()], ..job("then", 1, 50) };
-    let second = floor.submit(1, &then).await;
+    let second = cluster.submit(1, &then).await;
     assert_eq!(first.cell, second.cell);
-    assert_eq!(floor.await_outcome(1, "then").await.outcome, "done");
-    assert_eq!(floor.show(0, "first").await.outcome, "done");
+    assert_eq!(cluster.await_outcome(1, "then").await.outcome, "done");
+    assert_eq!(cluster.show(0, "first").await.outcome, "done");
 }
 
-/// The store goes away for longer than every lease. What runs must run on under renewed leases, a
-/// submission must be refused as not accepted, and when the store is back all goes on.
+/// The store is unavailable for longer than every lease. Running tasks must continue under renewed
+/// leases, submissions must be refused as not accepted, and normal operation must resume with the
+/// store.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_store_outage_stops_nothing_that_runs() {
+async fn running_tasks_continue_during_a_store_outage() {
     let mut base = batch::settings();
     base.cells.values_mut().for_each(|cell| cell.outage_renew_ms = 600_000);
-    let floor = Floor::start_with(1, base).await;
-    floor.submit(0, &job("long", 2, 6_000)).await;
-    while floor.world.workers.audit().starts < 2 {
+    let cluster = Cluster::start_with(1, base).await;
+    cluster.submit(0, &job("long", 2, 6_000)).await;
+    while cluster.harness.workers.audit().starts < 2 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let outage = Fault { kind: FaultKind::StoreOutage, target: 0 };
-    floor.world.begin(outage).await;
+    cluster.harness.begin(outage).await;
     let started = Instant::now();
     let mut nth = 0;
     let refused = loop {
         nth += 1;
         let spec = job(&format!("late-{nth}"), 1, 10);
-        let answer: Result<JobStatus, Error> = floor.ask(Method::POST, 0, "/v1/jobs", &spec).await;
+        let answer: Result<JobStatus, Error> =
+            cluster.ask(Method::POST, 0, "/v1/jobs", &spec).await;
         match answer.unwrap_err() {
             error if error.kind == ErrorKind::StoreUnavailable => break error,
-            // The first of them was in the record whose fate the outage hides.
+            // The first submission may be in the record whose outcome the outage hides.
             error => assert_eq!((error.kind, nth), (ErrorKind::OutcomeUnknown, 1)),
         }
-        assert!(started.elapsed() < LIMIT);
+        assert!(started.elapsed() < WAIT_TIMEOUT);
     };
     assert!(refused.retry_after_ms > 0);
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    assert_eq!(floor.world.workers.audit().lapsed, 0, "a running task lost its lease");
-    floor.world.end(outage).await;
-    assert_eq!(floor.await_outcome(0, "long").await.outcome, "done");
-    let books = floor.world.workers.audit();
-    assert_eq!(books.lapsed, 0);
-    assert!((0..2).all(|nth| books.attempts[&format!("long/{nth}")].len() == 1));
+    assert_eq!(cluster.harness.workers.audit().lapsed, 0, "a running task lost its lease");
+    cluster.harness.end(outage).await;
+    assert_eq!(cluster.await_outcome(0, "long").await.outcome, "done");
+    let audit = cluster.harness.workers.audit();
+    assert_eq!(audit.lapsed, 0);
+    assert!((0..2).all(|nth| audit.attempts[&format!("long/{nth}")].len() == 1));
 }
 
-/// A service is under pressure and then leaves its worker. Its last report stayed in force, the
-/// workers stayed closed to batch work, and jobs waited for ever (seeds 3, 15 and 18 of the fault
-/// runs, as their load was drawn then).
+/// A service is under pressure and then leaves its worker. Guards against its last report staying
+/// in effect, which kept the workers closed to batch work and let jobs wait forever.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn pressure_that_ended_does_not_keep_workers_closed() {
-    let floor = Floor::start(1).await;
+    let cluster = Cluster::start(1).await;
     let ids = [1, 2, 3, 101, 102, 103];
     for id in ids {
-        let mut faults = floor.world.workers.faults(id);
+        let mut faults = cluster.harness.workers.faults(id);
         faults.service_cpu_milli = 2_000;
         faults.pressure_percent = 300;
-        floor.world.workers.set_faults(id, faults);
+        cluster.harness.workers.set_faults(id, faults);
     }
-    floor.submit(0, &job("patient", 4, 50)).await;
+    cluster.submit(0, &job("patient", 4, 50)).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     for id in ids {
-        floor.world.workers.set_faults(id, Default::default());
+        cluster.harness.workers.set_faults(id, Default::default());
     }
-    assert_eq!(floor.await_outcome(0, "patient").await.outcome, "done");
+    assert_eq!(cluster.await_outcome(0, "patient").await.outcome, "done");
 }
 
-/// A worker cannot be reached for longer than the lease, comes back, and its attempt was declared
-/// lost and started elsewhere. The task must never run in two places, and finish once in the ledger.
+/// A worker is unreachable for longer than the lease and returns after its attempt was declared
+/// lost and started elsewhere. The task must never run in two places and must finish once in the
+/// ledger.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_unreachable_worker_gives_its_work_up_before_it_starts_elsewhere() {
-    let floor = Floor::start(1).await;
-    floor.submit(0, &job("moved", 1, 4_000)).await;
+async fn work_of_an_unreachable_worker_ends_before_it_restarts_elsewhere() {
+    let cluster = Cluster::start(1).await;
+    cluster.submit(0, &job("moved", 1, 4_000)).await;
     let started = Instant::now();
     let worker = loop {
-        if let Some(worker) = floor.show(0, "moved").await.tasks[0].worker {
+        if let Some(worker) = cluster.show(0, "moved").await.tasks[0].worker {
             break worker;
         }
-        assert!(started.elapsed() < LIMIT);
+        assert!(started.elapsed() < WAIT_TIMEOUT);
     };
-    while floor.world.workers.audit().starts == 0 {
+    while cluster.harness.workers.audit().starts == 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let mut faults = floor.world.workers.faults(worker);
+    let mut faults = cluster.harness.workers.faults(worker);
     faults.unreachable = true;
-    floor.world.workers.set_faults(worker, faults);
-    while floor.show(0, "moved").await.tasks[0].attempt < 2 {
-        assert!(started.elapsed() < LIMIT);
+    cluster.harness.workers.set_faults(worker, faults);
+    while cluster.show(0, "moved").await.tasks[0].attempt < 2 {
+        assert!(started.elapsed() < WAIT_TIMEOUT);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    floor.world.workers.set_faults(worker, Default::default());
-    assert_eq!(floor.await_outcome(0, "moved").await.outcome, "done");
-    let books = floor.world.workers.audit();
-    assert_eq!((books.double_runs, books.lapsed, books.finished["moved/0"]), (0, 1, 1));
+    cluster.harness.workers.set_faults(worker, Default::default());
+    assert_eq!(cluster.await_outcome(0, "moved").await.outcome, "done");
+    let audit = cluster.harness.workers.audit();
+    assert_eq!((audit.double_runs, audit.lapsed, audit.finished["moved/0"]), (0, 1, 1));
 }
 
-/// A job that fills every worker is cancelled and another submitted in the same moment. Were room
-/// freed before the workers confirmed their stops, the second would run beside the first, beyond
-/// the workers' capacity.
+/// A job that occupies every worker is cancelled and another one submitted immediately. Guards
+/// against freeing capacity before the workers have confirmed their stops: the second job would run
+/// beside the first, beyond the workers' capacity.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_cancelled_job_stops_and_starts_nothing_more() {
-    let floor = Floor::start(2).await;
-    floor.submit(0, &job("wave", 60, 60_000)).await;
-    let cancelled: JobStatus = floor.ask_until(Method::DELETE, 1, "/v1/jobs/wave", &()).await;
+    let cluster = Cluster::start(2).await;
+    cluster.submit(0, &job("wave", 60, 60_000)).await;
+    let cancelled: JobStatus = cluster.ask_until(Method::DELETE, 1, "/v1/jobs/wave", &()).await;
     assert_eq!(cancelled.outcome, "cancelled");
-    floor.submit(0, &job("next", 48, 200)).await;
-    floor.await_outcome(1, "wave").await;
-    let wave_starts = |books: &agatesill_standin::workers::WorkerAudit| {
-        books.attempts.keys().filter(|task| task.starts_with("wave/")).count()
+    cluster.submit(0, &job("next", 48, 200)).await;
+    cluster.await_outcome(1, "wave").await;
+    let wave_starts = |audit: &agatesill_standin::workers::WorkerAudit| {
+        audit.attempts.keys().filter(|task| task.starts_with("wave/")).count()
     };
-    let starts = wave_starts(&floor.world.workers.audit());
-    floor.await_outcome(0, "next").await;
-    let books = floor.world.workers.audit();
-    assert_eq!(wave_starts(&books), starts);
-    assert_eq!((books.overcommitted, books.double_runs), (0, 0));
+    let starts = wave_starts(&cluster.harness.workers.audit());
+    cluster.await_outcome(0, "next").await;
+    let audit = cluster.harness.workers.audit();
+    assert_eq!(wave_starts(&audit), starts);
+    assert_eq!((audit.overcommitted, audit.double_runs), (0, 0));
 }
 
-/// Guards against unlimited retries of a task that crashes its workers, and against giving up tasks
-/// that are lost in its crashes.
+/// Guards against unlimited retries of a task that crashes its workers, and against giving up other
+/// tasks that are lost in these crashes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_that_crashes_its_workers_fails_its_job_and_no_other() {
-    let floor = Floor::start(1).await;
+    let cluster = Cluster::start(1).await;
     let settings = batch::settings();
     for spec in settings.cells.values().flat_map(|cell| &cell.workers) {
-        let mut faults = floor.world.workers.faults(spec.id);
+        let mut faults = cluster.harness.workers.faults(spec.id);
         faults.crash_classes = vec!["harmful".to_owned()];
-        floor.world.workers.set_faults(spec.id, faults);
+        cluster.harness.workers.set_faults(spec.id, faults);
     }
-    floor.submit(0, &job("good", 12, 3_000)).await;
-    floor.submit(0, &JobSpec { class: "harmful".to_owned(), ..job("bad", 1, 500) }).await;
-    assert_eq!(floor.await_outcome(0, "bad").await.outcome, "failed");
-    assert_eq!(floor.await_outcome(0, "good").await.outcome, "done");
-    let books = floor.world.workers.audit();
-    let starts = books.attempts["bad/0"].len();
+    cluster.submit(0, &job("good", 12, 3_000)).await;
+    cluster.submit(0, &JobSpec { class: "harmful".to_owned(), ..job("bad", 1, 500) }).await;
+    assert_eq!(cluster.await_outcome(0, "bad").await.outcome, "failed");
+    assert_eq!(cluster.await_outcome(0, "good").await.outcome, "done");
+    let audit = cluster.harness.workers.audit();
+    let starts = audit.attempts["bad/0"].len();
     assert!((3..=5).contains(&starts), "{starts} starts");
-    assert_eq!((books.double_runs, books.overcommitted), (0, 0));
+    assert_eq!((audit.double_runs, audit.overcommitted), (0, 0));
 }
--- a/crates/agatesilld/tests/logging.rs
+++ b/crates/agatesilld/tests/logging.rs
@@ -1,12 +1,12 @@
-//! Log lines are JSON, whatever the values hold.
+//! Encoding of log lines as JSON.
 
 use agatesilld::logging::encode;
 use log::{Level, Record};
 
-/// A caller's request identity holds quotes, a line break and a control character. The line must
-/// stay one line of JSON, or whoever reads the logs loses the lines after it.
+/// A request id contains quotes, a line break and a control character. The line must remain one
+/// line of JSON, or log readers lose the lines after it.
 #[test]
-fn hostile_values_stay_one_line_of_json() -> Result<(), Box<dyn std::error::Error>> {
+fn special_characters_stay_in_one_line_of_json() -> Result<(), Box<dyn std::error::Error>> {
     let hostile = "a\"b\\c\nd\u{1}é";
     let pairs: [(&str, log::kv::Value<'_>); 5] = [
         ("request", hostile.into()),
--- a/crates/agatesilld/tests/relay.rs
+++ b/crates/agatesilld/tests/relay.rs
@@ -208,7 +208,12 @@
     for nth in 0..5 {
         let body = "b".repeat(200_000);
         let path = "/bytes/1000000".to_owned();
-        let ask = CallerRequest { method: "PUT".to_owned(), path, body, ..read_request(&format!("r{nth}")) };
+        let ask = CallerRequest {
+            method: "PUT".to_owned(),
+            path,
+            body,
+            ..read_request(&format!("r{nth}"))
+        };
         assert_eq!(kind(&harness.send(0, &ask).await), "answer");
     }
     Ok(())
--- a/crates/agatesilld/tests/rights.rs
+++ b/crates/agatesilld/tests/rights.rs
@@ -1,4 +1,4 @@
-//! Who may change what on the operators' address.
+//! Authorization on the admin address.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,7 +6,7 @@
 
 use agatesill_wire::http::{OPERATOR_HEADER, TOKEN_HEADER};
 use agatesill_wire::prelude::*;
-use agatesilld::rights::operator;
+use agatesilld::authorization::operator;
 use hyper::header::{HeaderMap, HeaderValue};
 
 fn headers(name: &str, token: &str) -> HeaderMap {
@@ -16,10 +16,10 @@
     headers
 }
 
-/// Somebody on the operators' network guesses tokens, leaves them out, or uses another's name. Only
-/// the name with its own token may change anything, and the refusal is the typed one.
+/// Someone on the operators' network guesses tokens, omits them or uses another operator's name.
+/// Only a name with its own token may make changes; all others must get the typed error.
 #[test]
-fn only_the_own_token_is_let_in() {
+fn only_a_name_with_its_own_token_is_authorized() {
     let pairs = [("nora", "correct-horse"), ("ion", ""), ("ana", "battery")];
     let tokens: BTreeMap<String, String> =
         pairs.iter().map(|(name, token)| ((*name).to_owned(), (*token).to_owned())).collect();
@@ -39,9 +39,10 @@
     }
 }
 
-/// Settings without tokens believe names; a call without one still gets a name for the log.
+/// Without tokens in the settings, names are accepted as given, and a call without one is logged
+/// under a default name.
 #[test]
-fn names_are_believed_without_tokens() {
+fn names_are_accepted_without_tokens() {
     let tokens = BTreeMap::new();
     assert_eq!(operator(&tokens, &headers("ion", ""), "test").unwrap(), "ion");
     assert_eq!(operator(&tokens, &HeaderMap::new(), "test").unwrap(), "unnamed");
