--- a/crates/agatesilld/tests/settings.rs
+++ b/crates/agatesilld/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Broken settings: each message names the file, the key, the value and what would be allowed.
+//! Invalid settings: each message must name the file, the key, the value and the allowed values.
 
 use std::process::Command;
 
@@ -22,7 +22,7 @@
       - { id: 1, capacity: { cpu_milli: 16000, memory_mb: 60000, accelerators: 0 }, rack: r1, zone: east-a }
 ";
 
-/// What is broken, what is replaced and by what.
+/// Description, valid text and the invalid text that replaces it.
 const BROKEN: [(&str, &str, &str); 24] = [
     ("not YAML", "instance: entry-1", "instance: [entry-1"),
     ("missing section", "admin: { addr: 127.0.0.1:7101 }", ""),
@@ -55,30 +55,30 @@
 ];
 
 #[test]
-fn good_settings_are_accepted() {
+fn valid_settings_are_accepted() {
     assert!(parse("daemon.yaml", GOOD).is_ok());
 }
 
-/// The acceptance list of broken files, kept as one snapshot.
+/// Error messages of all invalid files, as one snapshot.
 #[test]
 fn each_broken_file_is_told_what_is_wrong() {
-    let told: String = BROKEN
+    let messages: String = BROKEN
         .iter()
-        .map(|(what, good, broken)| {
-            assert!(GOOD.contains(good), "{what}: {good:?} is not in the good file");
+        .map(|(description, good, broken)| {
+            assert!(GOOD.contains(good), "{description}: {good:?} is not in the good file");
             let text = GOOD.replacen(good, broken, 1);
             let message = match parse("daemon.yaml", &text) {
                 Ok(_) => "accepted".to_owned(),
                 Err(error) => error.to_string(),
             };
-            format!("{what}\n    {message}\n")
+            format!("{description}\n    {message}\n")
         })
         .collect();
-    assert!(!told.contains("accepted"), "{told}");
-    insta::assert_snapshot!(told);
+    assert!(!messages.contains("accepted"), "{messages}");
+    insta::assert_snapshot!(messages);
 }
 
-/// Every key of the documented examples is known, and both examples are accepted.
+/// Both example files must be accepted.
 #[test]
 fn examples_are_accepted() -> Result<(), Box<dyn std::error::Error>> {
     for name in ["billfold", "carpatia"] {
@@ -89,8 +89,8 @@
     Ok(())
 }
 
-/// The program itself: exit code 2 and the message for a broken file, the effective settings with
-/// all defaults for a good one.
+/// The daemon must exit with code 2 and the message for an invalid file, and print the effective
+/// settings with all defaults for a valid one.
 #[test]
 fn check_prints_effective_settings_or_exits_with_two() -> Result<(), Box<dyn std::error::Error>> {
     let folder = std::env::temp_dir().join(format!("agatesilld-check-{}", std::process::id()));
@@ -106,8 +106,11 @@
     assert!(String::from_utf8(good.stdout)?.contains("drain_ms: 10000"));
     let broken = run(&GOOD.replacen("slots: 8", "slots: 0", 1))?;
     assert_eq!(broken.status.code(), Some(2));
-    let told = String::from_utf8(broken.stderr)?;
-    assert!(told.contains("daemon.yaml: pools.billing.0.slots: 0 is outside 1..=60"), "{told}");
+    let messages = String::from_utf8(broken.stderr)?;
+    assert!(
+        messages.contains("daemon.yaml: pools.billing.0.slots: 0 is not allowed; expected 1..=60"),
+        "{messages}"
+    );
     std::fs::remove_dir_all(&folder)?;
     Ok(())
 }
--- a/crates/agatesilld/tests/versions.rs
+++ b/crates/agatesilld/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Versions in force only rise.
+//! The active configuration version only increases.
 
 use agatesill_wire::api::VersionedConfig;
 use agatesilld::settings::RecordSettings;
@@ -8,10 +8,11 @@
     VersionedConfig { version, ..VersionedConfig::default() }
 }
 
-/// An operator's change is in force. Then a push that was on its way from a slower peer arrives, or
-/// a stale read of the store. Callers would get the old promise back; it must change nothing.
+/// A change is active when a late push from a slower peer or a stale read of the store delivers an
+/// older version. It must have no effect; otherwise callers would get the previous latency
+/// objective again.
 #[test]
-fn a_late_older_version_is_not_put_in_force() {
+fn a_late_older_version_is_not_activated() {
     let shared = Shared::new(&RecordSettings::default());
     assert!(shared.apply_config(version(3)));
     assert!(!shared.apply_config(version(2)));
