--- a/crates/agatesilld/src/fleet/advisor.rs
+++ b/crates/agatesilld/src/fleet/advice_client.rs
@@ -10,8 +10,8 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+use super::daemon_state::Site;
 use super::planner::Event;
-use super::site::Site;
 
 /// How long one answer may take: some milliseconds for each of thirty workers.
 const LIMIT: Duration = Duration::from_millis(2_000);
--- a/crates/agatesilld/src/fleet/commits.rs
+++ b/crates/agatesilld/src/fleet/commits.rs
@@ -13,8 +13,8 @@
 use agatesill_wire::prelude::*;
 use tokio::time::Instant;
 
+use super::daemon_state::Site;
 use super::keys::{self, PLANNER};
-use super::site::Site;
 
 /// Entries for records in one transaction: the store takes 32, and one guards the ownership.
 pub const MOST_ENTRIES: usize = 31;
--- a/crates/agatesilld/src/fleet/config_watch.rs
+++ b/crates/agatesilld/src/fleet/config_watch.rs
@@ -7,7 +7,7 @@
 use agatesill_wire::platform::{Entry, StoreCall};
 use tokio_util::sync::CancellationToken;
 
-use super::site::Site;
+use super::daemon_state::Site;
 
 /// How long one watch waits. A watch that the store has silently forgotten delays a configuration by
 /// this much, which must stay below the two seconds that one may take.
--- a/crates/agatesilld/src/fleet/site.rs
+++ b/crates/agatesilld/src/fleet/daemon_state.rs
@@ -11,8 +11,8 @@
 use tokio::sync::Notify;
 
 use super::clock::Clock;
-use super::link::Link;
 use super::metrics::FleetMetrics;
+use super::peer_connection::Link;
 use super::planner::PlannerHandle;
 
 /// A daemon with so many times the processor of the one that plans is better at it.
--- a/crates/agatesilld/src/fleet/front.rs
+++ b/crates/agatesilld/src/fleet/front.rs
@@ -16,8 +16,8 @@
 use tokio::time::Instant;
 
 use super::clock::wall_ms;
-use super::site::Site;
-use super::stored;
+use super::daemon_state::Site;
+use super::job_store;
 
 /// When to come back while the store is away: it is tried again within a second.
 const STORE_RETRY_MS: u32 = 1_000;
@@ -82,7 +82,7 @@
             return refuse(site, id, &Error::new(ErrorKind::Protocol, error.to_string()));
         }
     };
-    let write = stored::store_job(site, id, value.clone()).await;
+    let write = job_store::store_job(site, id, value.clone()).await;
     match write {
         FleetWrite::Stored | FleetWrite::Existed => {
             let is_new = write == FleetWrite::Stored;
@@ -90,7 +90,7 @@
             log::info!(event = "job_accepted", job = id, queue = queue.key.as_str(),
                 is_new = is_new, steps = spec.steps.len(), tasks = spec.tasks_per_occurrence(); "");
             if is_new {
-                stored::tell_accepted(site, spec, value);
+                job_store::tell_accepted(site, spec, value);
             }
             plain(StatusCode::OK, Bytes::from_static(b"{}"))
         }
@@ -110,7 +110,7 @@
 }
 
 async fn state(site: &Site, id: &str) -> Answer {
-    match stored::state(site, id).await {
+    match job_store::state(site, id).await {
         Ok(Some(((phase, is_started), source))) => {
             log::info!(event = "state_told", job = id, state:? = phase, is_started = is_started,
                 source = source; "");
@@ -125,10 +125,10 @@
 }
 
 async fn cancel(site: &Arc<Site>, id: &str) -> Answer {
-    match stored::store_cancel(site, id).await {
+    match job_store::store_cancel(site, id).await {
         FleetWrite::Stored | FleetWrite::Existed => {
             log::info!(event = "job_cancelled", job = id; "");
-            stored::tell_cancelled(site, id);
+            job_store::tell_cancelled(site, id);
             plain(StatusCode::OK, Bytes::from_static(b"{}"))
         }
         FleetWrite::NoSuchJob => plain(StatusCode::GONE, Bytes::new()),
@@ -137,7 +137,7 @@
 }
 
 async fn pending(site: &Site, queue: &Queue) -> Answer {
-    match stored::pending(site, &queue.key).await {
+    match job_store::pending(site, &queue.key).await {
         Some(pending) => plain(StatusCode::OK, front::pending_body(pending)),
         None => refuse(site, &queue.key, &unavailable("no planner can be asked", 500)),
     }
--- a/crates/agatesilld/src/fleet/stored.rs
+++ b/crates/agatesilld/src/fleet/job_store.rs
@@ -9,8 +9,8 @@
 use agatesill_wire::platform::StoreCall;
 use agatesill_wire::prelude::*;
 
+use super::daemon_state::Site;
 use super::keys;
-use super::site::Site;
 
 /// Daemons that are asked in turn for one question: one may know of a newer planner.
 const MOST_HOPS: usize = 2;
--- a/crates/agatesilld/src/fleet/metrics.rs
+++ b/crates/agatesilld/src/fleet/metrics.rs
@@ -14,7 +14,7 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Histogram, Meter};
 
-use super::site::Site;
+use super::daemon_state::Site;
 use crate::instruments::Instruments;
 
 /// Upper bounds of the buckets of times, in seconds: the store answers in 0.01, the desk's
--- a/crates/agatesilld/src/fleet/mod.rs
+++ b/crates/agatesilld/src/fleet/mod.rs
@@ -3,23 +3,23 @@
 //! All duties share the one thread that a fraction of a core can use; they are tasks joined by
 //! bounded rings. `docs/DESIGN.md` walks a job through them.
 
-mod advisor;
+mod advice_client;
 mod clock;
 mod commits;
 mod config_watch;
-mod followers;
+mod daemon_state;
 mod front;
+mod job_store;
 mod keys;
-mod lines;
-mod link;
 mod metrics;
 mod ownership;
+mod peer_connection;
 mod planner;
 mod predecessors;
 mod ready;
 mod recovery;
-mod site;
-mod stored;
+mod store_watchers;
+mod worker_connections;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,8 +34,8 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use self::daemon_state::Site;
 use self::metrics::FleetMetrics;
-use self::site::Site;
 
 /// Store calls a second that one daemon may make, for each write a second that the platform allows
 /// to all: the planner makes nearly all writes, and about as many reads and watches.
@@ -99,7 +99,7 @@
     let _dropped = (stop_entry.clone().drop_guard(), alive.clone().drop_guard());
     tasks.spawn(config_watch::follow(site.clone(), stop_entry.clone()));
     tasks.spawn(ownership::run(site.clone(), stop.clone(), alive));
-    tasks.spawn(link::serve(site.clone(), peers, stop_entry.clone()));
+    tasks.spawn(peer_connection::serve(site.clone(), peers, stop_entry.clone()));
     tasks.spawn(serve(ready, stop_entry.clone(), {
         let site = site.clone();
         move |request| ready::answer(site.clone(), request)
--- a/crates/agatesilld/src/fleet/ownership.rs
+++ b/crates/agatesilld/src/fleet/ownership.rs
@@ -11,10 +11,10 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+use super::daemon_state::Site;
 use super::keys::PLANNER;
-use super::link::Asked;
+use super::peer_connection::Asked;
 use super::planner;
-use super::site::Site;
 
 /// Lease on the planner's range. A crash stops all starts until it has ended, and a renewal that
 /// meets a slow store must still come in time; the store's shortest is one second.
--- a/crates/agatesilld/src/fleet/link.rs
+++ b/crates/agatesilld/src/fleet/peer_connection.rs
@@ -18,8 +18,8 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::site::Site;
-use super::stored;
+use super::daemon_state::Site;
+use super::job_store;
 
 /// How long an answer may take: a round trip is 4 ms, a write for another daemon 20 ms.
 const LIMIT: Duration = Duration::from_millis(400);
@@ -235,9 +235,9 @@
     answer.planner = site.owner().map(|owner| owner.address).unwrap_or_default();
     match call.question {
         Some(FleetQuestion::StateOf(id)) => {
-            if let Some((phase, is_started)) = stored::planned_state(site, &id).await {
+            if let Some((phase, is_started)) = job_store::planned_state(site, &id).await {
                 answer.is_known = true;
-                answer.phase = stored::phase_code(phase);
+                answer.phase = job_store::phase_code(phase);
                 answer.is_started = is_started;
             }
         }
@@ -261,10 +261,10 @@
             }
         }
         Some(FleetQuestion::StoreJob(job)) => {
-            answer.write = stored::store_job_here(site, &job.id, job.json).await as i32;
+            answer.write = job_store::store_job_here(site, &job.id, job.json).await as i32;
         }
         Some(FleetQuestion::StoreCancel(id)) => {
-            answer.write = stored::store_cancel_here(site, &id).await as i32;
+            answer.write = job_store::store_cancel_here(site, &id).await as i32;
         }
         Some(FleetQuestion::HowIsTheStore(sees_store)) => {
             answer.is_known = true;
--- a/crates/agatesilld/src/fleet/planner.rs
+++ b/crates/agatesilld/src/fleet/planner.rs
@@ -17,9 +17,9 @@
 
 use super::clock::wall_ms;
 use super::commits::{self, Committed};
-use super::lines::WorkerLines;
-use super::site::{Planned, Site};
-use super::{advisor, followers, predecessors, recovery};
+use super::daemon_state::{Planned, Site};
+use super::worker_connections::WorkerLines;
+use super::{advice_client, predecessors, recovery, store_watchers};
 
 /// Answers of workers that may wait; a full ring holds up the lines, which ask for less then.
 const RING_ANSWERS: usize = 8_192;
@@ -177,8 +177,8 @@
     // Everything that this planner started ends with it.
     let stop = lost.child_token();
     let lines = WorkerLines::new(site.clone(), epoch, answers, stop.clone(), tasks.clone());
-    let (questions, asked) = mpsc::channel(advisor::RING_QUESTIONS);
-    tasks.spawn(advisor::run(site.clone(), asked, news.clone(), stop.clone()));
+    let (questions, asked) = mpsc::channel(advice_client::RING_QUESTIONS);
+    tasks.spawn(advice_client::run(site.clone(), asked, news.clone(), stop.clone()));
     let mut planner = Planner {
         questions,
         site: site.clone(),
@@ -201,19 +201,24 @@
     };
     planner.registry(start.workers);
     site.registry_as_of_us.store(start.registry_read_us, Ordering::Release);
-    tasks.spawn(followers::registry(
+    tasks.spawn(store_watchers::registry(
         site.clone(),
         news.clone(),
         start.registry_revision,
         stop.clone(),
     ));
-    tasks.spawn(followers::closed_zones(
+    tasks.spawn(store_watchers::closed_zones(
         site.clone(),
         news.clone(),
         start.zones_revision,
         stop.clone(),
     ));
-    tasks.spawn(followers::inbox(site.clone(), news.clone(), start.inbox_revision, stop.clone()));
+    tasks.spawn(store_watchers::inbox(
+        site.clone(),
+        news.clone(),
+        start.inbox_revision,
+        stop.clone(),
+    ));
     if start.predecessors.orphan_ms() > 0 {
         tasks.spawn(forget_predecessors(site.clone(), epoch, stop.clone()));
     }
--- a/crates/agatesilld/src/fleet/predecessors.rs
+++ b/crates/agatesilld/src/fleet/predecessors.rs
@@ -10,9 +10,9 @@
 use agatesill_wire::platform::{KeyVersion, Put};
 use agatesill_wire::prelude::*;
 
+use super::daemon_state::Site;
 use super::keys::{self, PLANNER};
-use super::link::Asked;
-use super::site::Site;
+use super::peer_connection::Asked;
 
 /// Most daemons that are asked; with more that are unaccounted for, planners follow one another so fast
 /// that waiting costs nothing more.
--- a/crates/agatesilld/src/fleet/ready.rs
+++ b/crates/agatesilld/src/fleet/ready.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 
-use super::site::Site;
+use super::daemon_state::Site;
 
 /// Answers one request.
 pub async fn answer(site: Arc<Site>, request: Request<Incoming>) -> Response<Full<Bytes>> {
--- a/crates/agatesilld/src/fleet/recovery.rs
+++ b/crates/agatesilld/src/fleet/recovery.rs
@@ -9,10 +9,10 @@
 use tokio_util::sync::CancellationToken;
 
 use super::clock::wall_ms;
-use super::followers;
+use super::daemon_state::Site;
 use super::keys::{self, InboxKey};
 use super::predecessors::{self, Predecessors};
-use super::site::Site;
+use super::store_watchers;
 
 /// Pause between two tries.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -84,7 +84,7 @@
         revision = inbox.revision; "");
     Some(Start {
         fleet,
-        workers: workers.entries.iter().filter_map(followers::worker).collect(),
+        workers: workers.entries.iter().filter_map(store_watchers::worker).collect(),
         registry_revision: workers.revision,
         registry_read_us,
         inbox_revision: inbox.revision,
@@ -138,7 +138,7 @@
                 }
             }
             Some(InboxKey::Job(id)) => {
-                if let Some(spec) = followers::job(entry) {
+                if let Some(spec) = store_watchers::job(entry) {
                     fleet.restore(spec, records.remove(id), now_us);
                 }
             }
--- a/crates/agatesilld/src/fleet/followers.rs
+++ b/crates/agatesilld/src/fleet/store_watchers.rs
@@ -10,9 +10,9 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
+use super::daemon_state::Site;
 use super::keys::{self, InboxKey};
 use super::planner::Event;
-use super::site::Site;
 
 /// How long one watch waits. A watch that the store has silently forgotten hides news this long.
 const WATCH_MS: u64 = 2_000;
--- a/crates/agatesilld/src/fleet/lines.rs
+++ b/crates/agatesilld/src/fleet/worker_connections.rs
@@ -15,8 +15,8 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use super::daemon_state::Site;
 use super::planner::{Answer, Event};
-use super::site::Site;
 
 /// How long a poll waits for an end. Figures of the last half second come with each poll, so a
 /// shorter wait would see the same ones twice, and a longer one later than they are needed.
