--- a/crates/agatesilld/src/fleet/advice_client.rs
+++ b/crates/agatesilld/src/fleet/advice_client.rs
@@ -1,4 +1,5 @@
-//! Questions to the advice service, one at a time, as the service takes them.
+//! Client of the advice service. It sends one question at a time because the service handles only
+//! one at a time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,26 +11,26 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 use super::planner::Event;
 
-/// How long one answer may take: some milliseconds for each of thirty workers.
-const LIMIT: Duration = Duration::from_millis(2_000);
+/// Timeout of one answer: the service takes a few milliseconds for each of thirty workers.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Pause after a question without an answer.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a question that got no answer.
+const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Questions that may wait.
-pub const RING_QUESTIONS: usize = 512;
+/// Capacity of the queue of questions.
+pub const QUESTION_QUEUE_CAPACITY: usize = 512;
 
-/// Asks until `stop` is cancelled.
+/// Sends queued questions until `stop` is cancelled.
 pub async fn run(
-    site: Arc<Site>,
+    daemon: Arc<DaemonState>,
     mut questions: mpsc::Receiver<AdviceQuestion>,
     events: mpsc::Sender<Event>,
     stop: CancellationToken,
 ) {
-    let Some(addr) = site.settings.advice_addr else { return };
+    let Some(addr) = daemon.settings.advice_addr else { return };
     let mut channel = AdviceChannel::new(addr);
     let service = Dependency::new("advice");
     loop {
@@ -39,7 +40,7 @@
         };
         let Some(question) = question else { return };
         let sent = Instant::now();
-        let advised = match channel.ask(&question, LIMIT).await {
+        let advised = match channel.ask(&question, ANSWER_TIMEOUT).await {
             Ok(advised) => {
                 service.answered(sent);
                 Some(advised)
@@ -47,7 +48,7 @@
             Err(error) => {
                 service.failed(&error.detail);
                 log::warn!(event = "advice_failed", job = question.step.job.as_str(); "{error}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
                 None
             }
         };
--- a/crates/agatesilld/src/fleet/commits.rs
+++ b/crates/agatesilld/src/fleet/commits.rs
@@ -1,4 +1,4 @@
-//! Records on their way to the store.
+//! Writes job records to the store.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,41 +13,44 @@
 use agatesill_wire::prelude::*;
 use tokio::time::Instant;
 
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 use super::keys::{self, PLANNER};
 
-/// Entries for records in one transaction: the store takes 32, and one guards the ownership.
-pub const MOST_ENTRIES: usize = 31;
+/// Job records in one transaction. The store takes 32 entries, and one of them guards the
+/// ownership.
+pub const MAX_RECORDS_PER_TXN: usize = 31;
 
-/// How long a transaction may take. The store answers within 10 ms, a slow one within 300; each that
-/// waits for a lost answer holds up its jobs, and the next try finds out what became of it.
-const LIMIT: Duration = Duration::from_millis(600);
+/// Timeout of one transaction. The store answers within 10 ms, a slow one within 300 ms. A
+/// transaction whose answer is lost blocks its jobs until this timeout; the next attempt finds out
+/// whether it took effect.
+const TXN_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Keys deleted in one transaction: three of each job.
-const MOST_FORGOTTEN: usize = 10;
+/// Jobs deleted in one transaction. Each job has three keys.
+const MAX_JOBS_PER_DELETE: usize = 10;
 
-/// How a group of records fared.
+/// Outcome of writing a group of records.
 #[derive(Debug)]
 pub enum Committed {
-    /// They are stored, at this revision. The zones that were found closed take no start that follows.
+    /// The records are stored at this revision. The listed zones were found closed and accept no
+    /// further starts.
     Stored(Vec<JobWrite>, u64, Vec<ClosedZone>),
-    /// They are not stored now; they are to be taken again. So are records of starts in the zones that
-    /// were found closed, once the starts are placed elsewhere.
+    /// The records are not stored and must be written again. Records of starts in the listed closed
+    /// zones must be written again after the starts have been placed elsewhere.
     Failed(Vec<JobWrite>, Vec<ClosedZone>),
     /// Another daemon owns the range.
     Superseded,
 }
 
-/// Stores a group of records, if this daemon still owns the range.
+/// Stores a group of records if this daemon still owns the range.
 ///
-/// Guards against a transaction whose answer is lost and which takes effect late: it names the
-/// revision that each record must have, so it can't undo a newer one; and the next try recognises
-/// its own record when it finds that revision changed.
+/// Guards against a transaction whose answer is lost and which takes effect late: the transaction
+/// names the revision that each record must have, so it cannot overwrite a newer record. The next
+/// attempt finds the changed revision and recognises its own record.
 ///
-/// Guards against a start in a zone that was closed a moment ago, when the news has not come here yet:
-/// the transaction takes effect only while the zones of its starts are open.
-pub async fn commit(site: &Site, epoch: u64, writes: Vec<JobWrite>) -> Committed {
-    let records = match writes.iter().map(put).collect::<Result<Vec<_>, Error>>() {
+/// Guards against a start in a zone that was closed a moment ago, before the update has reached
+/// this daemon: the transaction takes effect only while the zones of its starts are open.
+pub async fn commit(daemon: &DaemonState, epoch: u64, writes: Vec<JobWrite>) -> Committed {
+    let records = match writes.iter().map(record_put).collect::<Result<Vec<_>, Error>>() {
         Ok(puts) => puts,
         Err(error) => {
             log::error!(event = "record_unencodable"; "{error}");
@@ -60,24 +63,25 @@
         writes.iter().map(|w| KeyVersion { key: keys::progress(&w.job), version: w.revision }),
     );
     expected.extend(zones_of(&writes).map(|zone| KeyVersion { key: zones::key(zone), version: 0 }));
-    let ended = writes.iter().filter(|write| write.record.phase != JobPhase::Active).map(clear);
+    let ended =
+        writes.iter().filter(|write| write.record.phase != JobPhase::Active).map(ended_job_put);
     let puts = records.iter().cloned().chain(ended).collect();
     let txn = StoreCall::Txn { expected, puts, deletes: Vec::new() };
-    let begun = Instant::now();
-    let answer = tokio::time::timeout(LIMIT, site.store.call(txn)).await;
+    let started = Instant::now();
+    let answer = tokio::time::timeout(TXN_TIMEOUT, daemon.store.call(txn)).await;
     let answer = answer.unwrap_or_else(|_| {
-        let what = format!("no answer within {} ms", LIMIT.as_millis());
-        Err(Error::new(ErrorKind::StoreUnavailable, what))
+        let detail = format!("no answer within {} ms", TXN_TIMEOUT.as_millis());
+        Err(Error::new(ErrorKind::StoreUnavailable, detail))
     });
     let outcome = match &answer {
         Ok(reply) if reply.applied => "stored",
         Ok(_) => "conflict",
         Err(_) => "failed",
     };
-    site.metrics.commit(outcome, begun.elapsed());
+    daemon.metrics.commit(outcome, started.elapsed());
     match answer {
         Ok(reply) if reply.applied => Committed::Stored(writes, reply.revision, Vec::new()),
-        Ok(reply) => resolve(&owner, epoch, writes, &records, &reply.entries),
+        Ok(reply) => resolve_conflict(&owner, epoch, writes, &records, &reply.entries),
         Err(error) => {
             log::warn!(event = "commit_failed", jobs = writes.len(); "{error}");
             Committed::Failed(writes, Vec::new())
@@ -85,8 +89,8 @@
     }
 }
 
-/// What it means that a revision was not as expected.
-fn resolve(
+/// Finds out why a transaction met an unexpected revision.
+fn resolve_conflict(
     owner: &str,
     epoch: u64,
     mut writes: Vec<JobWrite>,
@@ -103,7 +107,7 @@
     for (write, put) in writes.iter_mut().zip(puts) {
         let entry = found.iter().find(|entry| entry.key == put.key);
         is_stored &= entry.is_some_and(|entry| entry.value == put.value);
-        // An earlier try of this daemon took effect; the record is written again over it.
+        // An earlier attempt of this daemon took effect. The next attempt overwrites its record.
         write.revision = entry.map_or(0, |entry| entry.version);
         revision = revision.max(write.revision);
     }
@@ -113,19 +117,19 @@
     Committed::Failed(writes, closed)
 }
 
-/// The zones in which starts follow any of the records.
+/// Zones in which any of the records is followed by a start.
 fn zones_of(writes: &[JobWrite]) -> impl Iterator<Item = &String> {
     let zones: BTreeSet<&String> = writes.iter().flat_map(|write| &write.zones).collect();
     zones.into_iter()
 }
 
-fn put(write: &JobWrite) -> Result<Put, Error> {
+fn record_put(write: &JobWrite) -> Result<Put, Error> {
     let value = encode(&write.record)?;
     Ok(Put { key: keys::progress(&write.job), value, lease_id: 0 })
 }
 
-/// Replaces a job that has ended by the mark that it was there.
-fn clear(write: &JobWrite) -> Put {
+/// Replaces the specification of an ended job with a marker, so that the key continues to exist.
+fn ended_job_put(write: &JobWrite) -> Put {
     Put { key: keys::job(&write.job), value: keys::ENDED_JOB.to_owned(), lease_id: 0 }
 }
 
@@ -134,29 +138,29 @@
         .map_err(|error| Error::new(ErrorKind::Protocol, error.to_string()))
 }
 
-/// Deletes all keys of jobs that nobody asks for any more.
-pub async fn forget(site: Arc<Site>, jobs: Vec<JobId>) {
-    for chunk in jobs.chunks(MOST_FORGOTTEN) {
+/// Deletes all keys of jobs that ended long ago and are no longer queried.
+pub async fn forget(daemon: Arc<DaemonState>, jobs: Vec<JobId>) {
+    for chunk in jobs.chunks(MAX_JOBS_PER_DELETE) {
         let deletes = chunk
             .iter()
             .flat_map(|id| [keys::job(id), keys::cancel(id), keys::progress(id)])
             .collect();
-        if let Err(error) = site.store.txn(Vec::new(), Vec::new(), deletes).await {
+        if let Err(error) = daemon.store.txn(Vec::new(), Vec::new(), deletes).await {
             log::warn!(event = "forget_failed", jobs = chunk.len(); "{error}");
         }
     }
 }
 
-/// Stores what is learned about images, if this daemon still owns the range. A loss costs the
-/// successor some seconds of learning and nothing else.
-pub async fn save_learned(site: Arc<Site>, epoch: u64, learned: LearnedInterference) {
+/// Stores the learned interference between images if this daemon still owns the range. If the write
+/// is lost, a successor spends some seconds learning it again; nothing else depends on it.
+pub async fn save_learned(daemon: Arc<DaemonState>, epoch: u64, learned: LearnedInterference) {
     let value = match serde_json::to_string(&learned) {
         Ok(value) => value,
         Err(error) => return log::error!(event = "learned_unencodable"; "{error}"),
     };
     let expected = vec![KeyVersion { key: owner_key(PLANNER), version: epoch }];
     let put = Put { key: keys::LEARNED.to_owned(), value, lease_id: 0 };
-    if let Err(error) = site.store.txn(expected, vec![put], Vec::new()).await {
+    if let Err(error) = daemon.store.txn(expected, vec![put], Vec::new()).await {
         log::debug!(event = "learned_unsaved"; "{error}");
     }
 }
--- a/crates/agatesilld/src/fleet/config_watch.rs
+++ b/crates/agatesilld/src/fleet/config_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the operators' configuration.
+//! Watches the operators' configuration in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,17 +7,18 @@
 use agatesill_wire::platform::{Entry, StoreCall};
 use tokio_util::sync::CancellationToken;
 
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 
-/// How long one watch waits. A watch that the store has silently forgotten delays a configuration by
-/// this much, which must stay below the two seconds that one may take.
+/// Wait time of one watch call. A watch that the store has silently dropped delays a configuration
+/// by this much, which must stay below the two seconds allowed for a configuration to become
+/// active.
 const WATCH_MS: u64 = 1_200;
 
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failed call.
+const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Follows the configuration until `stop` is cancelled.
-pub async fn follow(site: Arc<Site>, stop: CancellationToken) {
+/// Watches the configuration until `stop` is cancelled.
+pub async fn watch_config(daemon: Arc<DaemonState>, stop: CancellationToken) {
     let mut after_revision = None;
     while !stop.is_cancelled() {
         let call = match after_revision {
@@ -30,35 +31,35 @@
         };
         let reply = tokio::select! {
             () = stop.cancelled() => return,
-            reply = site.store.call(call) => reply,
+            reply = daemon.store.call(call) => reply,
         };
         match reply {
             Ok(reply) if reply.is_compacted => after_revision = None,
             Ok(reply) => {
-                reply.entries.iter().for_each(|entry| take(&site, entry));
+                reply.entries.iter().for_each(|entry| apply(&daemon, entry));
                 after_revision = Some(reply.revision);
             }
             Err(error) => {
                 log::debug!(event = "config_unread"; "{error}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
             }
         }
     }
 }
 
-fn take(site: &Site, entry: &Entry) {
+fn apply(daemon: &DaemonState, entry: &Entry) {
     if entry.key != config::KEY {
         return;
     }
     match config::decode(&entry.value) {
         Ok(decoded) => {
             let (version, queues, terms) = (decoded.version, decoded.queues.len(), decoded.terms());
-            if !site.offer_config(decoded) {
+            if !daemon.update_config(decoded) {
                 return;
             }
             log::info!(event = "config_in_force", version = version, queues = queues,
                 revision = entry.version; "");
-            if let Some(planner) = site.planner() {
+            if let Some(planner) = daemon.planner() {
                 planner.set_queues(terms);
             }
         }
--- a/crates/agatesilld/src/fleet/daemon_state.rs
+++ b/crates/agatesilld/src/fleet/daemon_state.rs
@@ -1,4 +1,4 @@
-//! What the duties of one daemon share.
+//! State shared by the components of one daemon.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -12,115 +12,117 @@
 
 use super::clock::Clock;
 use super::metrics::FleetMetrics;
-use super::peer_connection::Link;
+use super::peer_connection::PeerConnection;
 use super::planner::PlannerHandle;
 
-/// A daemon with so many times the processor of the one that plans is better at it.
-const BIGGER: u32 = 2;
+/// Factor by which a daemon's processor share must exceed the planner's for planning to move there.
+const LARGER_FACTOR: u32 = 2;
 
-/// Shortest time between two times that planning is passed on by one daemon: if the bigger one
-/// fails to take it, the range must not go to and fro.
-const PASSED_ON_US: u64 = 20_000_000;
+/// Minimum interval between two handovers of the range by one daemon. Guards against the range
+/// moving back and forth if the larger daemon fails to claim it.
+const MIN_HANDOVER_INTERVAL_US: u64 = 20_000_000;
 
-/// Age of a confirmation of ownership up to which no other daemon can own the planner's range: the
-/// lease of two seconds less a tenth for the rates of clocks.
-const CERTAIN_US: u64 = 1_800_000;
+/// Age of an ownership confirmation up to which no other daemon can own the planner's range: the
+/// lease of two seconds, less a tenth for clock drift.
+const MAX_CONFIRMATION_AGE_US: u64 = 1_800_000;
 
-/// Age of the registry's news, in times of the drain bound, from which nothing starts.
-const NEWS_TOO_OLD: u64 = 5;
+/// Age of the last registry update, as a multiple of the drain bound, from which no task is
+/// started.
+const MAX_REGISTRY_AGE_IN_DRAIN_BOUNDS: u64 = 5;
 
-/// Counters of one daemon, for its metrics.
+/// Counters of callers' requests, for the metrics.
 #[derive(Debug, Default)]
-pub struct SiteCounts {
-    /// Jobs accepted here.
+pub struct RequestCounts {
+    /// Jobs accepted by this daemon.
     pub accepted: AtomicU64,
-    /// Requests answered with a refusal that says that nothing was done.
+    /// Requests refused with an answer that says that nothing was done.
     pub refused: AtomicU64,
-    /// Requests whose outcome could not be told.
+    /// Requests whose outcome is unknown.
     pub unknown: AtomicU64,
 }
 
-/// What the planner tells about itself, for metrics.
+/// Figures that the planner publishes for the metrics.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Planned {
-    /// What happened since it began.
+pub struct PlannerStats {
+    /// Events since the planner started.
     pub counts: Counts,
-    /// What its decisions examined since it began.
+    /// Work done for decisions since the planner started.
     pub effort: Effort,
-    /// How long answers of workers have waited to be taken in.
+    /// Age of the oldest answer of a worker that has not been handled yet.
     pub behind_us: u64,
-    /// Steps with tasks that wait.
+    /// Steps with waiting tasks.
     pub waiting_steps: u64,
-    /// Workers whose incarnation is not over.
+    /// Workers whose incarnation has not ended.
     pub workers: u64,
-    /// Those among them that do not answer.
+    /// Unresponsive workers among them.
     pub silent_workers: u64,
 }
 
-/// What the duties of one daemon share.
+/// State shared by the components of one daemon.
 #[derive(Debug)]
-pub struct Site {
-    /// What the platform told this process.
+pub struct DaemonState {
+    /// Settings that the platform gave to this process.
     pub settings: NodeSettings,
-    /// The store.
+    /// Client of the store.
     pub store: Store,
     /// The monotonic clock.
     pub clock: Clock,
-    /// The way to other daemons.
-    pub link: Link,
-    /// Instruments.
+    /// Client for calls to other daemons.
+    pub peer_connection: PeerConnection,
+    /// Instruments of the metrics.
     pub metrics: FleetMetrics,
-    /// Counters.
-    pub counts: SiteCounts,
+    /// Counters of callers' requests.
+    pub counts: RequestCounts,
     /// When ownership of the planner's range was last confirmed; 0 while it is not owned.
     pub confirmed_us: AtomicU64,
-    /// Up to when this daemon's planner knows what the registry lists; 0 before the first reading.
+    /// Time up to which the planner of this daemon has received all changes of the registry; 0
+    /// before the first read.
     pub registry_as_of_us: AtomicU64,
     config: RwLock<Option<Arc<SiteConfig>>>,
     planner: Mutex<Option<PlannerHandle>>,
     owner: RwLock<Option<Owner>>,
-    planned: Mutex<Planned>,
+    planner_stats: Mutex<PlannerStats>,
     is_stopping: AtomicBool,
-    /// Woken when planning is to be passed on.
-    pub passing_on: Notify,
-    passed_on_us: AtomicU64,
+    /// Notified when planning must be handed over.
+    pub handover: Notify,
+    last_handover_us: AtomicU64,
 }
 
-impl Site {
-    /// The shared state of a daemon that starts.
+impl DaemonState {
+    /// Creates the state of a starting daemon.
     pub fn new(settings: NodeSettings, store: Store, metrics: FleetMetrics) -> Self {
         Self {
             settings,
             store,
             clock: Clock::start(),
-            link: Link::default(),
+            peer_connection: PeerConnection::default(),
             metrics,
-            counts: SiteCounts::default(),
-            planned: Mutex::default(),
+            counts: RequestCounts::default(),
+            planner_stats: Mutex::default(),
             confirmed_us: AtomicU64::new(0),
             registry_as_of_us: AtomicU64::new(0),
             config: RwLock::default(),
             planner: Mutex::default(),
             owner: RwLock::default(),
             is_stopping: AtomicBool::new(false),
-            passing_on: Notify::new(),
-            passed_on_us: AtomicU64::new(0),
+            handover: Notify::new(),
+            last_handover_us: AtomicU64::new(0),
         }
     }
 
-    /// The configuration in force; `None` before the first was read.
+    /// The active configuration; `None` before the first one was read.
     pub fn config(&self) -> Option<Arc<SiteConfig>> {
         self.config.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts a configuration into force if it is newer than the present one.
+    /// Activates a configuration if it is newer than the current one.
     ///
-    /// Guards against a stale reading: a version, once in force, is never left for an older one.
-    pub fn offer_config(&self, offered: SiteConfig) -> bool {
+    /// Guards against a stale read: an active version is never replaced by an older one.
+    pub fn update_config(&self, candidate: SiteConfig) -> bool {
         let mut config = self.config.write().unwrap_or_else(PoisonError::into_inner);
-        let is_newer = config.as_ref().is_none_or(|present| present.version < offered.version);
+        let is_newer = config.as_ref().is_none_or(|current| current.version < candidate.version);
         if is_newer {
-            *config = Some(Arc::new(offered));
+            *config = Some(Arc::new(candidate));
         }
         is_newer
     }
@@ -131,74 +133,79 @@
     }
 
     /// The planner of this daemon, if it is certain to be the only one: ownership was confirmed
-    /// within a lease.
+    /// within the time of a lease.
     ///
-    /// Guards against answers from a planner that was cut off from the store: it does not know the
-    /// jobs that others accepted since, and would count too few.
-    pub fn certain_planner(&self) -> Option<PlannerHandle> {
+    /// Guards against answers from a planner that is cut off from the store: it does not know the
+    /// jobs that other daemons have accepted since, and would count too few.
+    pub fn confirmed_planner(&self) -> Option<PlannerHandle> {
         let confirmed_us = self.confirmed_us.load(Ordering::Acquire);
         let age_us = self.clock.now_us().saturating_sub(confirmed_us);
-        self.planner().filter(|_| age_us < CERTAIN_US)
+        self.planner().filter(|_| age_us < MAX_CONFIRMATION_AGE_US)
     }
 
-    /// Whether this daemon's planner runs, or what it started has not ended yet.
+    /// Whether the planner of this daemon runs, or tasks that it spawned have not ended yet.
     pub fn is_planning(&self) -> bool {
         self.confirmed_us.load(Ordering::Acquire) > 0
     }
 
-    /// Whether the news of the registry still comes, so that starts may be sent.
+    /// Whether updates of the registry still arrive, so that starts may be sent.
     ///
-    /// Guards against a registry that is not heard of for long: workers that left since would get starts.
-    /// A planner that merely lags goes on, as without starts it would serve nothing.
-    pub fn knows_who_leaves(&self) -> bool {
+    /// Guards against a registry that has sent no updates for a long time: workers that have left
+    /// since would get starts. A planner that merely lags continues, because without starts it
+    /// would be of no use.
+    pub fn is_registry_current(&self) -> bool {
         let as_of_us = self.registry_as_of_us.load(Ordering::Acquire);
         let age_us = self.clock.now_us().saturating_sub(as_of_us);
-        age_us < self.settings.bounds.drain_ms * NEWS_TOO_OLD * US_PER_MS
+        age_us < self.settings.bounds.drain_ms * MAX_REGISTRY_AGE_IN_DRAIN_BOUNDS * US_PER_MS
     }
 
-    /// Says that this daemon runs the planner, or no longer does.
+    /// Sets the handle of the planner; `None` when this daemon no longer runs it.
     pub fn set_planner(&self, planner: Option<PlannerHandle>) {
         *self.planner.lock().unwrap_or_else(PoisonError::into_inner) = planner;
     }
 
-    /// Who runs the planner, as far as this daemon knows.
+    /// The last known owner of the planner's range.
     pub fn owner(&self) -> Option<Owner> {
         self.owner.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Takes in who runs the planner.
+    /// Sets the last known owner of the planner's range.
     pub fn set_owner(&self, owner: Option<Owner>) {
         *self.owner.write().unwrap_or_else(PoisonError::into_inner) = owner;
     }
 
-    /// Thousandths of a processor that this daemon has.
+    /// Processor share of this daemon, in thousandths.
     pub fn cpu_milli(&self) -> u32 {
         (self.settings.cpu_share * 1_000.0) as u32
     }
 
-    /// The daemon that plans, if it is so much smaller than this one that planning should move here.
-    pub fn smaller_planner(&self) -> Option<SocketAddr> {
+    /// Address of the planner's daemon, if it is so much smaller than this one that planning should
+    /// move here.
+    pub fn much_smaller_planner(&self) -> Option<SocketAddr> {
         let owner = self.owner().filter(|owner| owner.cpu_milli > 0)?;
-        (self.cpu_milli() >= owner.cpu_milli.saturating_mul(BIGGER)).then(|| self.planner_addr())?
+        (self.cpu_milli() >= owner.cpu_milli.saturating_mul(LARGER_FACTOR))
+            .then(|| self.planner_addr())?
     }
 
-    /// Passes planning on if this daemon plans and the one that asks is much bigger; false if not.
-    pub fn ask_to_pass_on(&self, cpu_milli: u32) -> bool {
+    /// Hands planning over if this daemon plans and the requesting one is much larger. Returns
+    /// whether it does.
+    pub fn grant_handover(&self, cpu_milli: u32) -> bool {
         let is_owner = self.owner().is_some_and(|owner| owner.instance == self.settings.instance);
         let now_us = self.clock.now_us();
-        let passed_on_us = self.passed_on_us.load(Ordering::Relaxed);
-        let is_lately = passed_on_us > 0 && now_us - passed_on_us < PASSED_ON_US;
-        if !is_owner || is_lately || cpu_milli < self.cpu_milli().saturating_mul(BIGGER) {
+        let last_handover_us = self.last_handover_us.load(Ordering::Relaxed);
+        let is_recent =
+            last_handover_us > 0 && now_us - last_handover_us < MIN_HANDOVER_INTERVAL_US;
+        if !is_owner || is_recent || cpu_milli < self.cpu_milli().saturating_mul(LARGER_FACTOR) {
             return false;
         }
-        self.passed_on_us.store(now_us, Ordering::Relaxed);
+        self.last_handover_us.store(now_us, Ordering::Relaxed);
         log::info!(event = "planner_passed_on", cpu_milli = self.cpu_milli(),
-            to_cpu_milli = cpu_milli; "a bigger daemon asks");
-        self.passing_on.notify_one();
+            to_cpu_milli = cpu_milli; "a much larger daemon requested the range");
+        self.handover.notify_one();
         true
     }
 
-    /// Where the planner's daemon takes calls, if it is known and not this one.
+    /// Peer address of the planner's daemon, if it is known and another daemon.
     pub fn planner_addr(&self) -> Option<SocketAddr> {
         let owner = self.owner()?;
         if owner.instance == self.settings.instance {
@@ -207,14 +214,14 @@
         owner.address.parse().ok()
     }
 
-    /// What the planner told last.
-    pub fn planned(&self) -> Planned {
-        *self.planned.lock().unwrap_or_else(PoisonError::into_inner)
+    /// The figures that the planner published last.
+    pub fn planner_stats(&self) -> PlannerStats {
+        *self.planner_stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in what the planner tells.
-    pub fn set_planned(&self, planned: Planned) {
-        *self.planned.lock().unwrap_or_else(PoisonError::into_inner) = planned;
+    /// Publishes the planner's figures.
+    pub fn set_planner_stats(&self, planner_stats: PlannerStats) {
+        *self.planner_stats.lock().unwrap_or_else(PoisonError::into_inner) = planner_stats;
     }
 
     /// Whether a planned stop has begun.
--- a/crates/agatesilld/src/fleet/keys.rs
+++ b/crates/agatesilld/src/fleet/keys.rs
@@ -1,24 +1,25 @@
-//! Keys of the store under which jobs live, and the range that the planner owns.
+//! Store keys of jobs, and the range that the planner owns.
 
-/// What callers did: accepted jobs and cancels. Followed by the planner.
+/// Prefix of accepted jobs and cancels. The planner watches it.
 pub const INBOX: &str = "in/";
 
-/// Accepted jobs.
+/// Prefix of accepted jobs.
 const JOB: &str = "in/job/";
 
-/// Cancels.
+/// Prefix of cancels.
 const CANCEL: &str = "in/cancel/";
 
-/// Progress of jobs, written by the planner alone.
+/// Prefix of the progress of jobs. Only the planner writes it.
 pub const PROGRESS: &str = "progress/";
 
-/// What the planner has learned about images, for its successor.
+/// Interference between images that the planner has learned, kept for its successor.
 pub const LEARNED: &str = "learned/images";
 
-/// Range whose owner plans.
+/// The range whose owner runs the planner.
 pub const PLANNER: &str = "planner";
 
-/// The daemons that may renew leases at workers: the planner, and those before it that are unaccounted for.
+/// Daemons that may renew leases at workers: the planner, and earlier planners that are not known
+/// to have stopped.
 pub const PLANNERS: &str = "planners";
 
 /// Key of an accepted job.
@@ -36,20 +37,21 @@
     format!("{PROGRESS}{id}")
 }
 
-/// What stands in place of a job that has ended: its key must stay, or the job could be handed in
-/// anew, but nobody needs its steps, and a successor need not read them.
+/// Value that replaces the specification of an ended job. The key must stay, because the job could
+/// be submitted again otherwise, but the steps are no longer needed and a successor need not read
+/// them.
 pub const ENDED_JOB: &str = "{}";
 
-/// What a key of the inbox says.
+/// Decoded key of the inbox.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InboxKey<'a> {
-    /// A job was accepted.
+    /// An accepted job.
     Job(&'a str),
-    /// A job was cancelled.
+    /// A cancel of a job.
     Cancel(&'a str),
 }
 
-/// Decodes a key of the inbox.
+/// Decodes a key of the inbox; `None` for other keys.
 pub fn inbox(key: &str) -> Option<InboxKey<'_>> {
     key.strip_prefix(JOB)
         .map(InboxKey::Job)
--- a/crates/agatesilld/src/fleet/metrics.rs
+++ b/crates/agatesilld/src/fleet/metrics.rs
@@ -1,6 +1,6 @@
-//! Counters and histograms of a daemon on the platform, as Prometheus text.
+//! Counters and histograms of a daemon on the platform, in the Prometheus text format.
 //!
-//! `docs/METRICS.md` lists each with its unit and what to do when it moves.
+//! `docs/METRICS.md` lists each metric with its unit and what to do when it moves.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,11 +14,11 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Histogram, Meter};
 
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 use crate::instruments::Instruments;
 
-/// Upper bounds of the buckets of times, in seconds: the store answers in 0.01, the desk's
-/// objective is about one.
+/// Upper bounds of the histogram buckets in seconds. The store answers in 0.01, and the latency
+/// objective of the desk queue is about one.
 const BUCKETS_S: [f64; 12] =
     [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0];
 
@@ -32,41 +32,43 @@
 }
 
 impl FleetMetrics {
-    /// Creates the instruments that are written to.
+    /// Creates the instruments that are recorded to.
     pub fn new() -> Result<Self, opentelemetry_sdk::error::OTelSdkError> {
         let instruments = Instruments::new()?;
-        let times = |name, what| instruments.seconds_histogram(name, &BUCKETS_S, what);
-        let requests =
-            times("http.server.request.duration", "Time to answer a caller, by call and status");
-        let commits = times("agatesill.commit.duration", "Time to store records, by outcome");
-        let orders = times("agatesill.order.duration", "Time to give an order to a worker");
+        let histogram = |name, what| instruments.seconds_histogram(name, &BUCKETS_S, what);
+        let requests = histogram(
+            "http.server.request.duration",
+            "Time to answer a caller, by call and status",
+        );
+        let commits = histogram("agatesill.commit.duration", "Time to store records, by outcome");
+        let orders = histogram("agatesill.order.duration", "Time to give an order to a worker");
         Ok(Self { instruments, requests, commits, orders })
     }
 
     /// Records an answer to a caller.
-    pub fn request(&self, call: &'static str, status: u16, took: Duration) {
+    pub fn request(&self, call: &'static str, status: u16, duration: Duration) {
         let labels = [KeyValue::new("call", call), KeyValue::new("status", i64::from(status))];
-        self.requests.record(took.as_secs_f64(), &labels);
+        self.requests.record(duration.as_secs_f64(), &labels);
     }
 
-    /// Records a transaction of records.
-    pub fn commit(&self, outcome: &'static str, took: Duration) {
-        self.commits.record(took.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
+    /// Records a transaction of job records.
+    pub fn commit(&self, outcome: &'static str, duration: Duration) {
+        self.commits.record(duration.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Records an order to a worker.
-    pub fn order(&self, order: &'static str, is_answered: bool, took: Duration) {
+    pub fn order(&self, order: &'static str, is_answered: bool, duration: Duration) {
         let labels = [KeyValue::new("order", order), KeyValue::new("answered", is_answered)];
-        self.orders.record(took.as_secs_f64(), &labels);
+        self.orders.record(duration.as_secs_f64(), &labels);
     }
 
-    /// Creates the instruments that are read when asked for.
-    pub fn observe(&self, site: &Arc<Site>) {
+    /// Creates the instruments that are read when the metrics are scraped.
+    pub fn observe(&self, daemon: &Arc<DaemonState>) {
         let meter = self.instruments.meter();
         self.instruments.observe_lost_lines();
-        observe_ledger(&meter, site);
-        observe_effort(&meter, site);
-        observe_daemon(&meter, site);
+        observe_ledger(&meter, daemon);
+        observe_effort(&meter, daemon);
+        observe_daemon(&meter, daemon);
     }
 
     /// All instruments in the Prometheus text format.
@@ -75,14 +77,14 @@
     }
 }
 
-fn observe_ledger(meter: &Meter, site: &Arc<Site>) {
-    let counted = site.clone();
+fn observe_ledger(meter: &Meter, daemon: &Arc<DaemonState>) {
+    let observed = daemon.clone();
     meter
         .u64_observable_counter("agatesill.runs")
         .with_unit("{run}")
         .with_description("Runs of tasks by what became of them, while this daemon planned")
         .with_callback(move |counter| {
-            let counts = counted.planned().counts;
+            let counts = observed.planner_stats().counts;
             let what = |name: &'static str| [KeyValue::new("what", name)];
             counter.observe(counts.chosen, &what("ordered"));
             counter.observe(counts.done, &what("done"));
@@ -94,31 +96,31 @@
             counter.observe(counts.preempted, &what("preempted"));
         })
         .build();
-    let held = site.clone();
+    let held = daemon.clone();
     meter
         .u64_observable_gauge("agatesill.ledger")
         .with_description("Sizes of the ledger, while this daemon plans")
         .with_callback(move |gauge| {
-            let planned = held.planned();
+            let planner_stats = held.planner_stats();
             let what = |name: &'static str| [KeyValue::new("what", name)];
-            gauge.observe(planned.waiting_steps, &what("waiting_steps"));
-            gauge.observe(planned.behind_us / 1_000, &what("behind_ms"));
-            gauge.observe(planned.workers, &what("workers"));
-            gauge.observe(planned.silent_workers, &what("silent_workers"));
-            gauge.observe(planned.counts.quarantines, &what("quarantines"));
-            gauge.observe(planned.counts.slow_workers, &what("slow_workers"));
-            gauge.observe(planned.counts.given_up, &what("given_up"));
+            gauge.observe(planner_stats.waiting_steps, &what("waiting_steps"));
+            gauge.observe(planner_stats.behind_us / 1_000, &what("behind_ms"));
+            gauge.observe(planner_stats.workers, &what("workers"));
+            gauge.observe(planner_stats.silent_workers, &what("silent_workers"));
+            gauge.observe(planner_stats.counts.quarantines, &what("quarantines"));
+            gauge.observe(planner_stats.counts.slow_workers, &what("slow_workers"));
+            gauge.observe(planner_stats.counts.given_up, &what("given_up"));
         })
         .build();
 }
 
-fn observe_effort(meter: &Meter, site: &Arc<Site>) {
-    let spent = site.clone();
+fn observe_effort(meter: &Meter, daemon: &Arc<DaemonState>) {
+    let observed = daemon.clone();
     meter
         .u64_observable_counter("agatesill.effort")
         .with_description("What decisions examined, while this daemon planned")
         .with_callback(move |counter| {
-            let effort = spent.planned().effort;
+            let effort = observed.planner_stats().effort;
             let what = |name: &'static str| [KeyValue::new("what", name)];
             counter.observe(effort.workers_examined, &what("workers_examined"));
             counter.observe(effort.steps_ranked, &what("steps_ranked"));
@@ -127,35 +129,35 @@
         .build();
 }
 
-fn observe_daemon(meter: &Meter, site: &Arc<Site>) {
+fn observe_daemon(meter: &Meter, daemon: &Arc<DaemonState>) {
     let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    let counted = site.clone();
+    let observed = daemon.clone();
     meter
         .u64_observable_counter("agatesill.jobs")
         .with_unit("{job}")
         .with_description("Requests of callers by outcome")
         .with_callback(move |counter| {
             let what = |name: &'static str| [KeyValue::new("what", name)];
-            counter.observe(load(&counted.counts.accepted), &what("accepted"));
-            counter.observe(load(&counted.counts.refused), &what("refused"));
-            counter.observe(load(&counted.counts.unknown), &what("unknown"));
+            counter.observe(load(&observed.counts.accepted), &what("accepted"));
+            counter.observe(load(&observed.counts.refused), &what("refused"));
+            counter.observe(load(&observed.counts.unknown), &what("unknown"));
         })
         .build();
-    let stored = site.clone();
+    let observed = daemon.clone();
     meter
         .u64_observable_counter("agatesill.store.calls")
         .with_unit("{call}")
         .with_description("Calls to the platform's store, by kind; failures count twice")
         .with_callback(move |counter| {
             let kind = |name: &'static str| [KeyValue::new("kind", name)];
-            let counts = stored.store.counts();
+            let counts = observed.store.counts();
             counter.observe(load(&counts.writes), &kind("write"));
             counter.observe(load(&counts.reads), &kind("read"));
             counter.observe(load(&counts.failures), &kind("failure"));
             counter.observe(load(&counts.unsent), &kind("unsent"));
         })
         .build();
-    let config = site.clone();
+    let config = daemon.clone();
     meter
         .u64_observable_gauge("agatesill.config.version")
         .with_description("Version of the configuration in force")
@@ -166,8 +168,11 @@
 }
 
 /// Answers one request for the metrics.
-pub async fn answer(site: Arc<Site>, _request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::new(Bytes::from(site.metrics.text())));
+pub async fn answer(
+    daemon: Arc<DaemonState>,
+    _request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
+    let mut answer = Response::new(Full::new(Bytes::from(daemon.metrics.text())));
     answer
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; version=0.0.4"));
--- a/crates/agatesilld/src/fleet/mod.rs
+++ b/crates/agatesilld/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! The daemon on the users' platform: callers hand jobs to any daemon, one daemon plans.
+//! The daemon on the users' platform: callers submit jobs to any daemon, and one daemon runs the
+//! planner.
 //!
-//! All duties share the one thread that a fraction of a core can use; they are tasks joined by
-//! bounded rings. `docs/DESIGN.md` walks a job through them.
+//! All components run as tasks on one thread, since the daemon gets only a fraction of a core. They
+//! are connected by bounded channels. `docs/DESIGN.md` follows a job through them.
 
 mod advice_client;
 mod clock;
@@ -34,24 +35,24 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use self::daemon_state::Site;
+use self::daemon_state::DaemonState;
 use self::metrics::FleetMetrics;
 
-/// Store calls a second that one daemon may make, for each write a second that the platform allows
-/// to all: the planner makes nearly all writes, and about as many reads and watches.
-const STORE_CALLS_FOR_WRITE: f64 = 1.25;
+/// Store calls a second that one daemon may make, per write a second that the platform allows for
+/// all daemons. The planner makes nearly all writes, and about as many reads and watches.
+const STORE_CALLS_PER_WRITE: f64 = 1.25;
 
-/// Calls a second that a daemon has in any case, where the platform states no rate.
-const LEAST_BUDGET: f64 = 100.0;
+/// Minimum rate limit of store calls a second, used where the platform states no rate.
+const MIN_CALLS_PER_S: f64 = 100.0;
 
-/// How long a planned stop waits, not ready but serving, until the balancer sends no one any more:
-/// it asks once a second and believes the second miss.
-const LEAVING: Duration = Duration::from_millis(2_400);
+/// How long a daemon being stopped serves while it reports that it is not ready. The load balancer
+/// checks once a second and stops sending after the second failure.
+const DRAIN_DURATION: Duration = Duration::from_millis(2_400);
 
-/// How long open requests may take after that; less where the platform gives less time.
-const LAST_REQUESTS: Duration = Duration::from_millis(1_500);
+/// Timeout of open requests after that. It is shorter if the platform gives less time.
+const REQUEST_DRAIN_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Runs the daemon until it gets SIGTERM; metrics are served on `metrics_port` of its address.
+/// Runs the daemon until it receives SIGTERM. Metrics are served on `metrics_port` of its address.
 pub fn run(settings: NodeSettings, metrics_port: u16) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
@@ -63,8 +64,9 @@
             loop {
                 tokio::select! {
                     _ = terminate.recv() => return stopping.cancel(),
-                    // Nothing of this daemon's settings can change while it runs.
-                    _ = hangup.recv() => log::info!(event = "reload"; "read at the next start"),
+                    // No setting of this daemon can change while it runs.
+                    _ = hangup.recv() => log::info!(event = "reload";
+                        "the settings are read only at the start of the process"),
                 }
             }
         });
@@ -72,7 +74,7 @@
     })
 }
 
-/// Serves until `stop` is cancelled, then leaves as at a planned stop.
+/// Serves until `stop` is cancelled, then shuts down gracefully.
 pub async fn serve_until(
     settings: NodeSettings,
     metrics_port: u16,
@@ -85,47 +87,50 @@
     let ready = bind(settings.ready_addr).await?;
     let peers = bind(settings.peer_addr).await?;
     let figures = bind(SocketAddr::new(settings.entry_addr.ip(), metrics_port)).await?;
-    let budget = (settings.store_writes_per_s as f64 * STORE_CALLS_FOR_WRITE).max(LEAST_BUDGET);
-    let store = store::store(settings.store_addr).with_rate_limit(budget as u32);
+    let calls_per_s =
+        (settings.store_writes_per_s as f64 * STORE_CALLS_PER_WRITE).max(MIN_CALLS_PER_S);
+    let store = store::store(settings.store_addr).with_rate_limit(calls_per_s as u32);
     let instruments = FleetMetrics::new()
         .map_err(|error| Error::new(ErrorKind::Settings, format!("metrics: {error}")))?;
-    let site = Arc::new(Site::new(settings, store, instruments));
-    site.metrics.observe(&site);
+    let daemon = Arc::new(DaemonState::new(settings, store, instruments));
+    daemon.metrics.observe(&daemon);
     let tasks = TaskTracker::new();
     let stop_entry = CancellationToken::new();
-    // Whoever drops this future ends the daemon as a crash does: nothing runs on, nothing is given
-    // up.
-    let alive = CancellationToken::new();
-    let _dropped = (stop_entry.clone().drop_guard(), alive.clone().drop_guard());
-    tasks.spawn(config_watch::follow(site.clone(), stop_entry.clone()));
-    tasks.spawn(ownership::run(site.clone(), stop.clone(), alive));
-    tasks.spawn(peer_connection::serve(site.clone(), peers, stop_entry.clone()));
+    // Dropping this future ends the daemon as a crash does: all tasks stop and no lease is
+    // released.
+    let abort = CancellationToken::new();
+    let _guards = (stop_entry.clone().drop_guard(), abort.clone().drop_guard());
+    tasks.spawn(config_watch::watch_config(daemon.clone(), stop_entry.clone()));
+    tasks.spawn(ownership::run(daemon.clone(), stop.clone(), abort));
+    tasks.spawn(peer_connection::serve(daemon.clone(), peers, stop_entry.clone()));
     tasks.spawn(serve(ready, stop_entry.clone(), {
-        let site = site.clone();
-        move |request| ready::answer(site.clone(), request)
+        let daemon = daemon.clone();
+        move |request| ready::answer(daemon.clone(), request)
     }));
     tasks.spawn(serve(figures, stop_entry.clone(), {
-        let site = site.clone();
-        move |request| metrics::answer(site.clone(), request)
+        let daemon = daemon.clone();
+        move |request| metrics::answer(daemon.clone(), request)
     }));
     tasks.spawn(serve(entry, stop_entry.clone(), {
-        let site = site.clone();
-        move |request| front::answer(site.clone(), request)
+        let daemon = daemon.clone();
+        move |request| front::answer(daemon.clone(), request)
     }));
     stop.cancelled().await;
-    leave(&site, &stop_entry, &tasks).await;
+    shut_down(&daemon, &stop_entry, &tasks).await;
     Ok(())
 }
 
-/// A planned stop: the planner's range passes on, callers go elsewhere, open requests end.
-async fn leave(site: &Site, stop_entry: &CancellationToken, tasks: &TaskTracker) {
-    log::info!(event = "stop", is_planner = site.planner().is_some(); "");
-    site.begin_stop();
-    tokio::time::sleep(LEAVING).await;
+/// Shuts down gracefully: releases the planner's range, waits until callers use other daemons, and
+/// finishes open requests.
+async fn shut_down(daemon: &DaemonState, stop_entry: &CancellationToken, tasks: &TaskTracker) {
+    log::info!(event = "stop", is_planner = daemon.planner().is_some(); "");
+    daemon.begin_stop();
+    tokio::time::sleep(DRAIN_DURATION).await;
     stop_entry.cancel();
     tasks.close();
-    let limit = Duration::from_millis(site.settings.stop_timeout_ms).saturating_sub(LEAVING) / 2;
-    if tokio::time::timeout(LAST_REQUESTS.min(limit), tasks.wait()).await.is_err() {
+    let timeout =
+        Duration::from_millis(daemon.settings.stop_timeout_ms).saturating_sub(DRAIN_DURATION) / 2;
+    if tokio::time::timeout(REQUEST_DRAIN_TIMEOUT.min(timeout), tasks.wait()).await.is_err() {
         log::warn!(event = "stop_cut_short", tasks = tasks.len(); "");
     }
     log::info!(event = "stopped"; "");
--- a/crates/agatesilld/src/fleet/peer_connection.rs
+++ b/crates/agatesilld/src/fleet/peer_connection.rs
@@ -1,4 +1,5 @@
-//! Calls between daemons: prost messages in length-delimited frames, one connection each way.
+//! Calls between daemons: prost messages in length-delimited frames. Each side opens its own
+//! connection for its calls.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,117 +19,122 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 use super::job_store;
 
-/// How long an answer may take: a round trip is 4 ms, a write for another daemon 20 ms.
-const LIMIT: Duration = Duration::from_millis(400);
+/// Timeout of an answer. A round trip takes 4 ms, a write on behalf of another daemon 20 ms.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Frames that may wait on one connection.
-const RING_FRAMES: usize = 256;
+/// Capacity of the frame queue of one connection.
+const FRAME_QUEUE_CAPACITY: usize = 256;
 
-/// Pause after a connection that could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 type Waiting = Arc<Mutex<HashMap<u64, oneshot::Sender<FleetAnswer>>>>;
 
-/// The way to other daemons: one connection, to the one asked last.
+/// Client for calls to other daemons. It keeps one connection open, to the daemon that was called
+/// last.
 #[derive(Debug)]
-pub struct Link {
-    next: AtomicU64,
-    open: Mutex<Option<Open>>,
+pub struct PeerConnection {
+    next_number: AtomicU64,
+    current: Mutex<Option<OpenConnection>>,
     planner: Dependency,
 }
 
-impl Default for Link {
+impl Default for PeerConnection {
     fn default() -> Self {
         let planner = Dependency::new("planner");
-        Self { next: AtomicU64::new(0), open: Mutex::default(), planner }
+        Self { next_number: AtomicU64::new(0), current: Mutex::default(), planner }
     }
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenConnection {
     addr: SocketAddr,
     calls: mpsc::Sender<FleetCall>,
     waiting: Waiting,
-    /// The other machine said that nothing listens there.
+    /// Set if the connection was refused because nothing listens at the address.
     is_refused: Arc<AtomicBool>,
     stop: CancellationToken,
 }
 
-/// How a question to another daemon ended.
+/// Outcome of a call to another daemon.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asked {
-    /// It answered.
+pub enum PeerReply {
+    /// The daemon answered.
     Answered(FleetAnswer),
-    /// No answer came in time.
+    /// No answer arrived in time.
     Silent,
-    /// Its machine refuses the connection: the process is not there.
+    /// The connection was refused: the process does not run.
     Refused,
 }
 
-impl Link {
-    /// Asks the daemon at `addr`; `None` if no answer comes in time.
+impl PeerConnection {
+    /// Calls the daemon at `addr`; `None` if no answer arrives in time.
     pub async fn ask(&self, addr: SocketAddr, question: FleetQuestion) -> Option<FleetAnswer> {
-        match self.ask_telling(addr, question).await {
-            Asked::Answered(answer) => Some(answer),
-            Asked::Silent | Asked::Refused => None,
+        match self.ask_reporting_outcome(addr, question).await {
+            PeerReply::Answered(answer) => Some(answer),
+            PeerReply::Silent | PeerReply::Refused => None,
         }
     }
 
-    /// Asks the daemon at `addr` and tells why there is no answer. Then the connection is closed, as
-    /// a silent one would swallow every call after this.
-    pub async fn ask_telling(&self, addr: SocketAddr, question: FleetQuestion) -> Asked {
-        let number = self.next.fetch_add(1, Ordering::Relaxed) + 1;
-        let open = self.open(addr);
+    /// Calls the daemon at `addr` and reports why there is no answer. On failure the connection is
+    /// closed, because an unresponsive one would block every later call.
+    pub async fn ask_reporting_outcome(
+        &self,
+        addr: SocketAddr,
+        question: FleetQuestion,
+    ) -> PeerReply {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed) + 1;
+        let connection = self.connection_to(addr);
         let sent = Instant::now();
         let (answer, answered) = oneshot::channel();
-        lock(&open.waiting).insert(number, answer);
+        lock(&connection.waiting).insert(number, answer);
         let call = FleetCall { number, question: Some(question) };
-        let is_sent = open.calls.try_send(call).is_ok();
+        let is_sent = connection.calls.try_send(call).is_ok();
         let answer = match is_sent {
-            true => tokio::time::timeout(LIMIT, answered).await.ok().and_then(Result::ok),
+            true => tokio::time::timeout(ANSWER_TIMEOUT, answered).await.ok().and_then(Result::ok),
             false => None,
         };
-        lock(&open.waiting).remove(&number);
+        lock(&connection.waiting).remove(&number);
         let Some(answer) = answer else {
-            let is_refused = open.is_refused.load(Ordering::Relaxed);
+            let is_refused = connection.is_refused.load(Ordering::Relaxed);
             let why = if is_refused { "nothing listens at" } else { "no answer from" };
             self.planner.failed(&format!("{why} {addr}"));
-            self.close(&open);
-            return if is_refused { Asked::Refused } else { Asked::Silent };
+            self.close(&connection);
+            return if is_refused { PeerReply::Refused } else { PeerReply::Silent };
         };
         self.planner.answered(sent);
-        Asked::Answered(answer)
+        PeerReply::Answered(answer)
     }
 
-    fn open(&self, addr: SocketAddr) -> Open {
-        let mut present = lock(&self.open);
-        if let Some(open) = present.as_ref() {
-            if open.addr == addr && !open.calls.is_closed() {
-                return open.clone();
+    fn connection_to(&self, addr: SocketAddr) -> OpenConnection {
+        let mut current = lock(&self.current);
+        if let Some(connection) = current.as_ref() {
+            if connection.addr == addr && !connection.calls.is_closed() {
+                return connection.clone();
             }
-            open.stop.cancel();
+            connection.stop.cancel();
         }
-        let (calls, ring) = mpsc::channel(RING_FRAMES);
-        let open = Open {
+        let (calls, queued_calls) = mpsc::channel(FRAME_QUEUE_CAPACITY);
+        let connection = OpenConnection {
             addr,
             calls,
             waiting: Waiting::default(),
             is_refused: Arc::default(),
             stop: CancellationToken::new(),
         };
-        *present = Some(open.clone());
-        tokio::spawn(carry(open.clone(), ring));
-        open
+        *current = Some(connection.clone());
+        tokio::spawn(exchange_frames(connection.clone(), queued_calls));
+        connection
     }
 
-    fn close(&self, failed: &Open) {
+    fn close(&self, failed: &OpenConnection) {
         failed.stop.cancel();
-        let mut present = lock(&self.open);
-        if present.as_ref().is_some_and(|open| open.calls.same_channel(&failed.calls)) {
-            *present = None;
+        let mut current = lock(&self.current);
+        if current.as_ref().is_some_and(|connection| connection.calls.same_channel(&failed.calls)) {
+            *current = None;
         }
     }
 }
@@ -137,10 +143,10 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Carries calls to one daemon and its answers back, until either side closes.
-async fn carry(open: Open, mut calls: mpsc::Receiver<FleetCall>) {
-    let Open { addr, waiting, is_refused, stop, calls: handle } = open;
-    // The channel closes once nobody else can send.
+/// Sends calls to one daemon and receives its answers, until either side closes the connection.
+async fn exchange_frames(connection: OpenConnection, mut calls: mpsc::Receiver<FleetCall>) {
+    let OpenConnection { addr, waiting, is_refused, stop, calls: handle } = connection;
+    // Drops this sender, so that the channel closes once all other senders are dropped.
     drop(handle);
     let work = async {
         let stream = TcpStream::connect(addr).await.inspect_err(|error| {
@@ -177,39 +183,39 @@
     lock(&waiting).clear();
 }
 
-/// Answers other daemons until `stop` is cancelled.
-pub async fn serve(site: Arc<Site>, listener: TcpListener, stop: CancellationToken) {
+/// Serves calls of other daemons until `stop` is cancelled.
+pub async fn serve(daemon: Arc<DaemonState>, listener: TcpListener, stop: CancellationToken) {
     let tasks = TaskTracker::new();
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    tasks.spawn(answer_all(site.clone(), stream, stop.clone()));
+                    tasks.spawn(serve_connection(daemon.clone(), stream, stop.clone()));
                 }
                 Err(error) => {
                     log::warn!(event = "accept_failed"; "{error}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             },
         }
     }
 }
 
-async fn answer_all(site: Arc<Site>, stream: TcpStream, stop: CancellationToken) {
+async fn serve_connection(daemon: Arc<DaemonState>, stream: TcpStream, stop: CancellationToken) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(event = "peer_lost"; "{error}");
     }
     let (mut sink, mut frames) = Framed::new(stream, FrameCodec::default()).split();
-    let (answers, mut ring) = mpsc::channel(RING_FRAMES);
+    let (answers, mut queued_answers) = mpsc::channel(FRAME_QUEUE_CAPACITY);
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
             frame = frames.next() => match frame {
                 Some(Ok(Frame { body: Some(Body::FleetCall(call)) })) => {
-                    let (site, answers) = (site.clone(), answers.clone());
+                    let (daemon, answers) = (daemon.clone(), answers.clone());
                     tokio::spawn(async move {
-                        let answer = answer(&site, call).await;
+                        let answer = answer_call(&daemon, call).await;
                         if answers.send(answer).await.is_err() {
                             log::debug!(event = "peer_answer_unheard"; "");
                         }
@@ -218,7 +224,7 @@
                 Some(Ok(_)) => {}
                 Some(Err(_)) | None => return,
             },
-            answer = ring.recv() => {
+            answer = queued_answers.recv() => {
                 let Some(answer) = answer else { return };
                 let frame = Frame { body: Some(Body::FleetAnswer(answer)) };
                 if let Err(error) = sink.send(frame).await {
@@ -230,54 +236,56 @@
     }
 }
 
-async fn answer(site: &Site, call: FleetCall) -> FleetAnswer {
+async fn answer_call(daemon: &DaemonState, call: FleetCall) -> FleetAnswer {
     let mut answer = FleetAnswer { number: call.number, ..FleetAnswer::default() };
-    answer.planner = site.owner().map(|owner| owner.address).unwrap_or_default();
+    answer.planner = daemon.owner().map(|owner| owner.address).unwrap_or_default();
     match call.question {
         Some(FleetQuestion::StateOf(id)) => {
-            if let Some((phase, is_started)) = job_store::planned_state(site, &id).await {
+            if let Some((phase, is_started)) = job_store::planner_state(daemon, &id).await {
                 answer.is_known = true;
                 answer.phase = job_store::phase_code(phase);
                 answer.is_started = is_started;
             }
         }
         Some(FleetQuestion::Pending(queue)) => {
-            if let Some(planner) = site.certain_planner() {
+            if let Some(planner) = daemon.confirmed_planner() {
                 let pending = planner.pending(&queue).await;
                 answer.is_known = pending.is_some();
                 answer.pending = pending.unwrap_or_default();
             }
         }
         Some(FleetQuestion::Accepted(json)) => {
-            if let (Some(planner), Ok(spec)) = (site.planner(), serde_json::from_str(&json)) {
+            if let (Some(planner), Ok(spec)) = (daemon.planner(), serde_json::from_str(&json)) {
                 planner.accept(spec);
                 answer.is_known = true;
             }
         }
         Some(FleetQuestion::Cancelled(id)) => {
-            if let Some(planner) = site.planner() {
+            if let Some(planner) = daemon.planner() {
                 planner.cancel(&id);
                 answer.is_known = true;
             }
         }
         Some(FleetQuestion::StoreJob(job)) => {
-            answer.write = job_store::store_job_here(site, &job.id, job.json).await as i32;
+            answer.write = job_store::store_job_directly(daemon, &job.id, job.json).await as i32;
         }
         Some(FleetQuestion::StoreCancel(id)) => {
-            answer.write = job_store::store_cancel_here(site, &id).await as i32;
+            answer.write = job_store::store_cancel_directly(daemon, &id).await as i32;
         }
         Some(FleetQuestion::HowIsTheStore(sees_store)) => {
             answer.is_known = true;
-            answer.is_store_lost = site.store.is_unavailable();
-            answer.has_no_planner = !site.is_planning();
-            // Guards against a needless change of planner at the end of an outage: the daemon that asks
-            // sees the store again, while calls here pause for up to a second, and would take the range
-            // away at its second question.
+            answer.is_store_lost = daemon.store.is_unavailable();
+            answer.has_no_planner = !daemon.is_planning();
+            // Guards against a needless change of planner at the end of an outage: the calling
+            // daemon reaches the store again, while calls here are suspended for up to a second. It
+            // would take over the range with its second call.
             if answer.is_store_lost && sees_store > 0 {
-                site.store.retry_soon();
+                daemon.store.retry_soon();
             }
         }
-        Some(FleetQuestion::PassOn(cpu_milli)) => answer.is_known = site.ask_to_pass_on(cpu_milli),
+        Some(FleetQuestion::PassOn(cpu_milli)) => {
+            answer.is_known = daemon.grant_handover(cpu_milli)
+        }
         None => {}
     }
     answer
--- a/crates/agatesilld/src/fleet/predecessors.rs
+++ b/crates/agatesilld/src/fleet/predecessors.rs
@@ -1,8 +1,8 @@
-//! The daemons that planned before and may still renew leases at workers.
+//! Daemons that planned before this one and may still renew leases at workers.
 //!
-//! An owner that is cut off from the store renews for a while without being able to know that it was followed.
-//! A successor must wait for that before it takes a task on a worker that it can't reach for ended, unless
-//! it knows that none of these daemons plans any more.
+//! An owner that is cut off from the store renews for a while without knowing that another daemon
+//! owns the range. A successor must wait for that time before it treats a task on an unreachable
+//! worker as ended, unless it knows that none of these daemons plans any more.
 
 use agatesill_coord::lease::{Owner, owner_key};
 use agatesill_policy::fleet::ORPHAN_MS;
@@ -10,20 +10,20 @@
 use agatesill_wire::platform::{KeyVersion, Put};
 use agatesill_wire::prelude::*;
 
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 use super::keys::{self, PLANNER};
-use super::peer_connection::Asked;
+use super::peer_connection::PeerReply;
 
-/// Most daemons that are asked; with more that are unaccounted for, planners follow one another so fast
-/// that waiting costs nothing more.
-const MOST_ASKED: usize = 4;
+/// Maximum number of earlier planners that are queried. If more of them are not known to have
+/// stopped, planners change so often that waiting makes no difference.
+const MAX_QUERIED: usize = 4;
 
-/// What is known of the planners before.
+/// State of the earlier planners.
 #[derive(Clone, Debug, Default)]
 pub struct Predecessors {
     /// Those that may still renew leases: they plan, or do not answer.
     pub renewing: Vec<Owner>,
-    /// Whether there may be others, as no planner has announced itself yet.
+    /// Whether there may be others, because no planner has registered yet.
     pub is_incomplete: bool,
 }
 
@@ -34,9 +34,9 @@
     }
 }
 
-/// Reads which daemons planned before, and asks them whether they still do.
-pub async fn find(site: &Site) -> Result<Predecessors, Error> {
-    let reply = site.store.read_all(keys::PLANNERS).await?;
+/// Reads which daemons planned before, and queries whether they still do.
+pub async fn find(daemon: &DaemonState) -> Result<Predecessors, Error> {
+    let reply = daemon.store.read_all(keys::PLANNERS).await?;
     let Some(entry) = reply.entries.iter().find(|entry| entry.key == keys::PLANNERS) else {
         return Ok(Predecessors { renewing: Vec::new(), is_incomplete: true });
     };
@@ -44,34 +44,35 @@
         .map_err(|error| Error::new(ErrorKind::Protocol, error.to_string()))?;
     let mut renewing = Vec::new();
     for (place, planner) in planners.into_iter().enumerate() {
-        if place >= MOST_ASKED || !has_stopped(site, &planner).await {
+        if place >= MAX_QUERIED || !has_stopped(daemon, &planner).await {
             renewing.push(planner);
         }
     }
     Ok(Predecessors { renewing, is_incomplete: false })
 }
 
-/// Whether a daemon surely calls no worker any more.
-async fn has_stopped(site: &Site, planner: &Owner) -> bool {
-    if planner.address == site.settings.peer_addr.to_string() {
-        // An earlier incarnation: this one holds its address.
+/// Whether a daemon is certain to make no more calls to workers.
+async fn has_stopped(daemon: &DaemonState, planner: &Owner) -> bool {
+    if planner.address == daemon.settings.peer_addr.to_string() {
+        // An earlier incarnation of this daemon, which now holds the address.
         return true;
     }
     let Ok(addr) = planner.address.parse() else { return false };
-    match site.link.ask_telling(addr, FleetQuestion::HowIsTheStore(0)).await {
-        Asked::Answered(answer) => answer.has_no_planner,
-        Asked::Refused => true,
-        Asked::Silent => false,
+    match daemon.peer_connection.ask_reporting_outcome(addr, FleetQuestion::HowIsTheStore(0)).await
+    {
+        PeerReply::Answered(answer) => answer.has_no_planner,
+        PeerReply::Refused => true,
+        PeerReply::Silent => false,
     }
 }
 
-/// Stores that this daemon plans under `epoch`, and which others may still renew leases. False if another
-/// daemon owns the range.
-pub async fn announce(site: &Site, epoch: u64, renewing: &[Owner]) -> Result<bool, Error> {
-    let planners: Vec<Owner> = site.owner().into_iter().chain(renewing.iter().cloned()).collect();
+/// Stores that this daemon plans under `epoch`, and which other daemons may still renew leases.
+/// Returns false if another daemon owns the range.
+pub async fn announce(daemon: &DaemonState, epoch: u64, renewing: &[Owner]) -> Result<bool, Error> {
+    let planners: Vec<Owner> = daemon.owner().into_iter().chain(renewing.iter().cloned()).collect();
     let value = serde_json::to_string(&planners)
         .map_err(|error| Error::new(ErrorKind::Protocol, error.to_string()))?;
     let expected = vec![KeyVersion { key: owner_key(PLANNER), version: epoch }];
     let put = Put { key: keys::PLANNERS.to_owned(), value, lease_id: 0 };
-    Ok(site.store.txn(expected, vec![put], Vec::new()).await?.applied)
+    Ok(daemon.store.txn(expected, vec![put], Vec::new()).await?.applied)
 }
--- a/crates/agatesilld/src/fleet/ready.rs
+++ b/crates/agatesilld/src/fleet/ready.rs
@@ -1,4 +1,4 @@
-//! What the balancer and the operators' tools ask.
+//! Readiness endpoint for the load balancer and the operators' tools.
 
 use std::sync::Arc;
 
@@ -8,13 +8,13 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 
 /// Answers one request.
-pub async fn answer(site: Arc<Site>, request: Request<Incoming>) -> Response<Full<Bytes>> {
+pub async fn answer(daemon: Arc<DaemonState>, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let status = if request.uri().path() != READY_PATH {
         StatusCode::NOT_FOUND
-    } else if site.is_stopping() || site.config().is_none() {
+    } else if daemon.is_stopping() || daemon.config().is_none() {
         StatusCode::SERVICE_UNAVAILABLE
     } else {
         StatusCode::OK
--- a/crates/agatesilld/src/fleet/recovery.rs
+++ b/crates/agatesilld/src/fleet/recovery.rs
@@ -1,4 +1,5 @@
-//! Reading everything back after the planner's range has passed to this daemon.
+//! Restores the ledger from the store after this daemon has become the owner of the planner's
+//! range.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,59 +10,60 @@
 use tokio_util::sync::CancellationToken;
 
 use super::clock::wall_ms;
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 use super::keys::{self, InboxKey};
 use super::predecessors::{self, Predecessors};
 use super::store_watchers;
 
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay between attempts.
+const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
-/// What a planner starts with.
+/// State that a planner starts with.
 pub struct Start {
     /// The ledger.
     pub fleet: Fleet,
     /// Registered workers.
     pub workers: Vec<WorkerEntry>,
-    /// Revision of the reading of the registry.
+    /// Revision at which the registry was read.
     pub registry_revision: u64,
-    /// When the reading of the registry was asked for.
+    /// When the read of the registry was sent.
     pub registry_read_us: u64,
-    /// Revision of the reading of jobs and cancels.
+    /// Revision at which jobs and cancels were read.
     pub inbox_revision: u64,
-    /// Revision of the reading of closed zones.
+    /// Revision at which closed zones were read.
     pub zones_revision: u64,
     /// Planners before this one.
     pub predecessors: Predecessors,
 }
 
-/// Reads the ledger back for the planner of `epoch`; `None` if ownership is lost meanwhile.
+/// Restores the ledger for the planner of `epoch`; `None` if ownership is lost in the meantime.
 ///
-/// Progress is read after the inbox: a job that is in the second but not the first would be known
-/// to nobody, while one that is only in the first has simply not begun.
-pub async fn recover(site: &Site, epoch: u64, lost: &CancellationToken) -> Option<Start> {
+/// Progress is read after the inbox. With the opposite order a job could be in the progress read
+/// but not in the inbox read, and the planner would not know it. A job that is only in the inbox
+/// has simply not started.
+pub async fn recover(daemon: &DaemonState, epoch: u64, lost: &CancellationToken) -> Option<Start> {
     let jobs = async {
-        let inbox = read(site, keys::INBOX).await;
-        let progress = read(site, keys::PROGRESS).await;
+        let inbox = read_with_retries(daemon, keys::INBOX).await;
+        let progress = read_with_retries(daemon, keys::PROGRESS).await;
         (inbox, progress)
     };
-    let registry_read_us = site.clock.now_us();
+    let registry_read_us = daemon.clock.now_us();
     let read = async {
         tokio::join!(
             jobs,
-            read(site, registry::PREFIX),
-            read(site, keys::LEARNED),
-            read(site, zones::PREFIX),
-            follow_predecessors(site, epoch)
+            read_with_retries(daemon, registry::PREFIX),
+            read_with_retries(daemon, keys::LEARNED),
+            read_with_retries(daemon, zones::PREFIX),
+            register_as_planner(daemon, epoch)
         )
     };
     let ((inbox, progress), workers, learned, zones, predecessors) = tokio::select! {
         () = lost.cancelled() => return None,
         read = read => read,
     };
-    let mut fleet = Fleet::new(site.settings.bounds.clone());
-    fleet.set_wall_clock(site.clock.now_us(), wall_ms());
-    if let Some(config) = site.config() {
+    let mut fleet = Fleet::new(daemon.settings.bounds.clone());
+    fleet.set_wall_clock(daemon.clock.now_us(), wall_ms());
+    if let Some(config) = daemon.config() {
         fleet.set_queues(config.terms());
     }
     if let Some(entry) = learned.entries.first() {
@@ -71,13 +73,13 @@
         }
     }
     let closed: Vec<ClosedZone> = zones.entries.iter().filter_map(zones::decode).collect();
-    fleet.set_closed_zones(&closed, zones.revision, site.clock.now_us());
+    fleet.set_closed_zones(&closed, zones.revision, daemon.clock.now_us());
     let Some(predecessors) = predecessors else {
         lost.cancel();
         return None;
     };
     let orphan_ms = predecessors.orphan_ms();
-    restore(&mut fleet, &inbox.entries, &progress.entries, orphan_ms, site.clock.now_us());
+    restore(&mut fleet, &inbox.entries, &progress.entries, orphan_ms, daemon.clock.now_us());
     log::info!(event = "ledger_read", jobs = inbox.entries.len(),
         records = progress.entries.len(), workers = workers.entries.len(),
         closed_zones = closed.len(), orphan_ms = orphan_ms,
@@ -93,26 +95,26 @@
     })
 }
 
-/// Finds out which daemons that planned before may still renew leases, and stores that this one plans now;
-/// `None` if another daemon owns the range. Nothing is renewed here before it is stored: the next successor
-/// must know whom to ask.
-async fn follow_predecessors(site: &Site, epoch: u64) -> Option<Predecessors> {
+/// Finds out which earlier planners may still renew leases, and stores that this daemon plans now;
+/// `None` if another daemon owns the range. This daemon renews no lease before that is stored,
+/// because the next successor must know which daemons to query.
+async fn register_as_planner(daemon: &DaemonState, epoch: u64) -> Option<Predecessors> {
     let predecessors = loop {
-        match predecessors::find(site).await {
+        match predecessors::find(daemon).await {
             Ok(predecessors) => break predecessors,
             Err(error) => {
                 log::warn!(event = "ledger_unread", prefix = keys::PLANNERS; "{error}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
             }
         }
     };
     loop {
-        match predecessors::announce(site, epoch, &predecessors.renewing).await {
+        match predecessors::announce(daemon, epoch, &predecessors.renewing).await {
             Ok(true) => return Some(predecessors),
             Ok(false) => return None,
             Err(error) => {
                 log::warn!(event = "planner_unannounced", epoch = epoch; "{error}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
             }
         }
     }
@@ -150,13 +152,13 @@
     fleet.finish_restore(orphan_ms, now_us);
 }
 
-async fn read(site: &Site, prefix: &str) -> StoreReply {
+async fn read_with_retries(daemon: &DaemonState, prefix: &str) -> StoreReply {
     loop {
-        match site.store.read_all(prefix).await {
+        match daemon.store.read_all(prefix).await {
             Ok(reply) => return reply,
             Err(error) => {
                 log::warn!(event = "ledger_unread", prefix = prefix; "{error}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
             }
         }
     }
--- a/crates/agatesilld/src/fleet/store_watchers.rs
+++ b/crates/agatesilld/src/fleet/store_watchers.rs
@@ -1,4 +1,5 @@
-//! Follows what others write to the store: workers in the registry, callers' jobs and cancels.
+//! Watches the keys that other processes write to the store: the registry of workers, closed zones,
+//! jobs and cancels.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,94 +11,103 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 use super::keys::{self, InboxKey};
 use super::planner::Event;
 
-/// How long one watch waits. A watch that the store has silently forgotten hides news this long.
+/// Wait time of one watch call. A watch that the store has silently dropped hides updates for this
+/// long.
 const WATCH_MS: u64 = 2_000;
 
-/// The same for the registry: its news must be younger than a worker that leaves may still get starts.
+/// Wait time of one watch call on the registry. It must be shorter than the time for which a
+/// leaving worker may still get starts.
 const REGISTRY_WATCH_MS: u64 = 800;
 
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a failed call.
+const RETRY_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Pause of the inbox's follower after news. The accepting daemon tells the planner of a job by itself;
-/// the watch only makes good what that lost, and a call for each job would be paid for nothing.
-const INBOX_PAUSE: Duration = Duration::from_millis(200);
+/// Delay after an update of the inbox. The daemon that accepts a job notifies the planner directly;
+/// the watch only covers lost notifications, so a store call for each job would be wasted.
+const INBOX_DELAY: Duration = Duration::from_millis(200);
 
-/// The same for the registry. Each worker renews its entry twice a second; a call after each change
-/// would be a hundred calls a second, and news of a worker can wait a little.
-const REGISTRY_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after an update of the registry. Each worker renews its entry twice a second. A call after
+/// each change would be a hundred calls a second, and an update of a worker is not that urgent.
+const REGISTRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Follows the registry of workers from `revision` on.
+/// Watches the registry of workers from `revision` on.
 pub async fn registry(
-    site: Arc<Site>,
+    daemon: Arc<DaemonState>,
     events: mpsc::Sender<Event>,
     revision: u64,
     stop: CancellationToken,
 ) {
-    let pace = Pace { wait_ms: REGISTRY_WATCH_MS, pause: REGISTRY_PAUSE };
-    let work = follow(&site, registry::PREFIX, revision, pace, |reply, is_whole, as_of_us| {
-        let listed: Vec<WorkerEntry> = reply.entries.iter().filter_map(worker).collect();
-        let known = as_of_us.map(Event::RegistryAsOf);
-        if is_whole {
-            return [Event::Registry(listed)].into_iter().chain(known).collect();
-        }
-        let gone = reply.deleted.iter().filter_map(|key| registry::worker_id(key));
-        listed
-            .into_iter()
-            .map(|entry| Event::Listed(Box::new(entry)))
-            .chain(gone.map(|id| Event::Unlisted(id.to_owned())))
-            .chain(known)
-            .collect()
-    });
-    deliver(work, &events, &stop).await;
+    let timing = WatchTiming { wait_ms: REGISTRY_WATCH_MS, delay: REGISTRY_DELAY };
+    let work = watch_prefix(
+        &daemon,
+        registry::PREFIX,
+        revision,
+        timing,
+        |reply, is_full_read, as_of_us| {
+            let listed: Vec<WorkerEntry> = reply.entries.iter().filter_map(worker).collect();
+            let as_of = as_of_us.map(Event::RegistryAsOf);
+            if is_full_read {
+                return [Event::RegistryRead(listed)].into_iter().chain(as_of).collect();
+            }
+            let unlisted = reply.deleted.iter().filter_map(|key| registry::worker_id(key));
+            listed
+                .into_iter()
+                .map(|entry| Event::WorkerListed(Box::new(entry)))
+                .chain(unlisted.map(|id| Event::WorkerUnlisted(id.to_owned())))
+                .chain(as_of)
+                .collect()
+        },
+    );
+    forward_events(work, &events, &stop).await;
 }
 
-/// Follows the zones that operators close and open, from `revision` on.
+/// Watches the zones that operators close and open, from `revision` on.
 pub async fn closed_zones(
-    site: Arc<Site>,
+    daemon: Arc<DaemonState>,
     events: mpsc::Sender<Event>,
     revision: u64,
     stop: CancellationToken,
 ) {
-    let work = follow(&site, zones::PREFIX, revision, WITHOUT_PAUSE, |reply, is_whole, _| {
-        let closed: Vec<ClosedZone> = reply.entries.iter().filter_map(zones::decode).collect();
-        if is_whole {
-            return vec![Event::ClosedZones(closed, reply.revision)];
-        }
-        let opened = reply.deleted.iter().filter_map(|key| zones::zone(key));
-        closed
-            .into_iter()
-            .map(Event::ZoneClosed)
-            .chain(opened.map(|zone| Event::ZoneOpened(zone.to_owned(), reply.revision)))
-            .collect()
-    });
-    deliver(work, &events, &stop).await;
+    let work =
+        watch_prefix(&daemon, zones::PREFIX, revision, NO_DELAY, |reply, is_full_read, _| {
+            let closed: Vec<ClosedZone> = reply.entries.iter().filter_map(zones::decode).collect();
+            if is_full_read {
+                return vec![Event::ClosedZonesRead(closed, reply.revision)];
+            }
+            let opened = reply.deleted.iter().filter_map(|key| zones::zone(key));
+            closed
+                .into_iter()
+                .map(Event::ZoneClosed)
+                .chain(opened.map(|zone| Event::ZoneOpened(zone.to_owned(), reply.revision)))
+                .collect()
+        });
+    forward_events(work, &events, &stop).await;
 }
 
-/// Follows jobs and cancels from `revision` on.
+/// Watches jobs and cancels from `revision` on.
 pub async fn inbox(
-    site: Arc<Site>,
+    daemon: Arc<DaemonState>,
     events: mpsc::Sender<Event>,
     revision: u64,
     stop: CancellationToken,
 ) {
-    let pace = Pace { pause: INBOX_PAUSE, ..WITHOUT_PAUSE };
-    let work = follow(&site, keys::INBOX, revision, pace, |reply, _, _| {
+    let timing = WatchTiming { delay: INBOX_DELAY, ..NO_DELAY };
+    let work = watch_prefix(&daemon, keys::INBOX, revision, timing, |reply, _, _| {
         reply.entries.iter().filter_map(inbox_event).collect()
     });
-    deliver(work, &events, &stop).await;
+    forward_events(work, &events, &stop).await;
 }
 
-/// Decodes a worker's entry; another writer's is skipped and logged.
+/// Decodes a worker's entry. Entries of other writers are logged and skipped.
 pub fn worker(entry: &Entry) -> Option<WorkerEntry> {
     let decoded = registry::decode(&entry.key, &entry.value, entry.version);
     if decoded.is_none() {
         log::debug!(event = "entry_skipped", key = entry.key.as_str(),
-            revision = entry.version; "it names no worker to use");
+            revision = entry.version; "the entry does not describe a usable worker");
     }
     decoded
 }
@@ -121,77 +131,82 @@
 
 type Batches = mpsc::Receiver<Vec<Event>>;
 
-/// How often a prefix is asked about.
+/// Timing of the watch on one prefix.
 #[derive(Clone, Copy)]
-struct Pace {
-    /// How long one watch waits for news.
+struct WatchTiming {
+    /// Wait time of one watch call for updates.
     wait_ms: u64,
-    /// Pause after news.
-    pause: Duration,
+    /// Delay after an update.
+    delay: Duration,
 }
 
-const WITHOUT_PAUSE: Pace = Pace { wait_ms: WATCH_MS, pause: Duration::ZERO };
+const NO_DELAY: WatchTiming = WatchTiming { wait_ms: WATCH_MS, delay: Duration::ZERO };
 
-/// Answers in a row that did not tell all changes, after which everything is read anew: that is less
-/// than all changes of many seconds, where each worker renews its entry all the time.
-const MOST_PARTIAL: u32 = 4;
+/// Consecutive replies that did not contain all changes, after which the whole prefix is read
+/// again. Reading the prefix is less data than all changes of many seconds, as each worker renews
+/// its entry all the time.
+const MAX_PARTIAL_REPLIES: u32 = 4;
 
-/// Reads changes under `prefix`; after a gap in the history everything is read anew. `decode` gets the
-/// answer, whether it is a whole reading, and up to when all changes are told with it, if they are.
+/// Watches `prefix` for changes. After a gap in the history the whole prefix is read again.
+/// `decode` gets the reply, whether it is a full read, and the time up to which it contains all
+/// changes, if it does.
 ///
-/// Guards against news that has piled up, as during a takeover, until it is more than one answer may
-/// hold: each further try would bring more, and none would be read before the history is dropped.
-fn follow(
-    site: &Arc<Site>,
+/// Guards against a backlog of changes, as after a takeover, that exceeds the size limit of one
+/// reply: each retry would have to return more, and none would succeed before the store drops the
+/// history.
+fn watch_prefix(
+    daemon: &Arc<DaemonState>,
     prefix: &'static str,
     revision: u64,
-    pace: Pace,
+    timing: WatchTiming,
     decode: impl Fn(&StoreReply, bool, Option<u64>) -> Vec<Event> + Send + 'static,
 ) -> (Batches, impl Future<Output = ()> + Send + 'static) {
     let (sender, receiver) = mpsc::channel(1);
-    let site = site.clone();
+    let daemon = daemon.clone();
     let work = async move {
         let mut after = Some(revision);
-        let mut partial = 0;
+        let mut partial_replies = 0;
         loop {
-            let (sent_us, newest) = (site.clock.now_us(), site.store.newest_revision());
+            let (sent_us, newest) = (daemon.clock.now_us(), daemon.store.newest_revision());
             let reply = match after {
                 Some(after_revision) => {
                     let prefix = prefix.to_owned();
-                    let watch = StoreCall::Watch { prefix, after_revision, wait_ms: pace.wait_ms };
-                    site.store.call(watch).await
+                    let watch =
+                        StoreCall::Watch { prefix, after_revision, wait_ms: timing.wait_ms };
+                    daemon.store.call(watch).await
                 }
-                None => site.store.read_all(prefix).await,
+                None => daemon.store.read_all(prefix).await,
             };
             match reply {
                 Ok(reply) if reply.is_compacted => {
-                    log::info!(event = "history_gone", prefix = prefix; "read anew");
+                    log::info!(event = "history_gone", prefix = prefix; "reading the prefix again");
                     after = None;
                 }
                 Ok(reply) => {
-                    let is_whole = after.is_none();
-                    let has_news = !reply.entries.is_empty() || !reply.deleted.is_empty();
-                    let is_all = is_whole || reply.revision >= newest;
-                    let told_us = if has_news { sent_us } else { site.clock.now_us() };
-                    let as_of_us = is_all.then_some(told_us);
-                    partial = if is_all { 0 } else { partial + 1 };
-                    after = (partial < MOST_PARTIAL).then_some(reply.revision);
-                    if sender.send(decode(&reply, is_whole, as_of_us)).await.is_err() {
+                    let is_full_read = after.is_none();
+                    let has_updates = !reply.entries.is_empty() || !reply.deleted.is_empty();
+                    let is_complete = is_full_read || reply.revision >= newest;
+                    let observed_us = if has_updates { sent_us } else { daemon.clock.now_us() };
+                    let as_of_us = is_complete.then_some(observed_us);
+                    partial_replies = if is_complete { 0 } else { partial_replies + 1 };
+                    after = (partial_replies < MAX_PARTIAL_REPLIES).then_some(reply.revision);
+                    if sender.send(decode(&reply, is_full_read, as_of_us)).await.is_err() {
                         return;
                     }
-                    // Without a pause while more changes are to be told.
-                    if has_news && as_of_us.is_some() && !pace.pause.is_zero() {
-                        tokio::time::sleep(pace.pause).await;
+                    // No delay while more changes are outstanding.
+                    if has_updates && as_of_us.is_some() && !timing.delay.is_zero() {
+                        tokio::time::sleep(timing.delay).await;
                     }
                 }
                 Err(error) if error.kind == ErrorKind::TooLarge => {
-                    log::warn!(event = "news_too_large", prefix = prefix; "read anew: {error}");
+                    log::warn!(event = "news_too_large", prefix = prefix;
+                        "reading the prefix again: {error}");
                     after = None;
                 }
                 Err(error) => {
                     log::info!(event = "watch_failed", prefix = prefix,
                         after_revision = after.unwrap_or_default(); "{error}");
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(RETRY_BACKOFF).await;
                 }
             }
         }
@@ -199,7 +214,7 @@
     (receiver, work)
 }
 
-async fn deliver(
+async fn forward_events(
     (mut batches, work): (Batches, impl Future<Output = ()>),
     events: &mpsc::Sender<Event>,
     stop: &CancellationToken,
--- a/crates/agatesilld/src/fleet/worker_connections.rs
+++ b/crates/agatesilld/src/fleet/worker_connections.rs
@@ -1,4 +1,4 @@
-//! The calls to workers: for each incarnation a line that polls and two that give orders.
+//! Calls to workers. Each incarnation has one connection for polls and up to two for orders.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,360 +15,382 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::daemon_state::Site;
+use super::daemon_state::DaemonState;
 use super::planner::{Answer, Event};
 
-/// How long a poll waits for an end. Figures of the last half second come with each poll, so a
-/// shorter wait would see the same ones twice, and a longer one later than they are needed.
+/// Wait time of a poll for an ended run. Each poll returns figures of the last half second, so a
+/// shorter wait would return the same figures twice, and a longer one would return them late.
 const POLL_WAIT_MS: u64 = 500;
 
-/// Added to the wait before a poll counts as unanswered: a round trip takes 4 ms, a loaded worker or
-/// a short freeze of this process a few hundred.
-const POLL_SLACK: Duration = Duration::from_millis(700);
+/// Added to the wait time of a poll to get its timeout. A round trip takes 4 ms; a loaded worker or
+/// a short freeze of this process takes a few hundred.
+const POLL_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
-/// An order that takes longer counts as unanswered; it is sent again, which is harmless.
-const ORDER_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout of an order. An unanswered order is sent again, which is harmless.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause after a poll that failed.
-const POLL_PAUSE: Duration = Duration::from_millis(250);
+/// Delay after a failed poll.
+const POLL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Pause after an end came, so that others that are about to come travel with the next poll.
-const GATHER_PAUSE: Duration = Duration::from_millis(8);
+/// Delay of the next poll after a run has ended, so that other ends that follow shortly are
+/// reported by the same poll.
+const GATHER_DELAY: Duration = Duration::from_millis(8);
 
-/// Longest pause after an end came, until its effect is stored and the worker may forget it. A poll
-/// before that returns at once with the same end and tells nothing.
-const ACK_LIMIT: Duration = Duration::from_millis(150);
+/// Maximum delay of the next poll after a run has ended, until the end is stored and the worker may
+/// discard it. An earlier poll would return at once with the same end and no new information.
+const ACK_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The same for a worker on which nothing runs: its next end is none, and its tails are of no interest.
+/// Wait time of a poll at an idle worker. No run can end there, and its tail figures are not
+/// needed.
 const IDLE_WAIT_MS: u64 = MAX_POLL_WAIT_MS;
 
-/// Pause between two polls of such a worker, unless it gets an order: that it is gone shows in the registry,
-/// and it holds no lease that would have to be renewed.
-const IDLE_PAUSE: Duration = Duration::from_secs(2);
+/// Interval between polls of an idle worker, unless it gets an order. The registry shows when the
+/// worker is removed, and it holds no lease that must be renewed.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a start may wait for its turn. Guards against a zone that was closed meanwhile, on a
-/// daemon that is far behind.
-const LONGEST_START_AGE_US: u64 = 3_000 * US_PER_MS;
+/// Maximum age of a start order. Guards against a zone that was closed in the meantime, on a daemon
+/// that is far behind.
+const MAX_START_AGE_US: u64 = 3_000 * US_PER_MS;
 
-/// Orders that may wait for one worker.
-const RING_ORDERS: usize = 1_024;
+/// Capacity of the order queue of one worker.
+const ORDER_QUEUE_CAPACITY: usize = 1_024;
 
-/// How long an order may take before others go over a second connection: one answer that does not come
-/// must not hold them up. Sound workers answer sooner, and a connection that nobody needs costs memory
-/// and a descriptor.
-const HELD_UP: Duration = Duration::from_millis(30);
+/// Time after which a slow order no longer blocks the others: they are sent over a second
+/// connection. Healthy workers answer sooner. The second connection is opened only when needed,
+/// because it costs memory and a file descriptor.
+const SECOND_CONNECTION_DELAY: Duration = Duration::from_millis(30);
 
-/// Time without orders after which their connection is closed: on a large fleet most workers get none
-/// for long, and descriptors are limited.
-const UNUSED: Duration = Duration::from_secs(5);
+/// Time without orders after which the order connection is closed. Most workers of a large fleet
+/// get no orders for long periods, and file descriptors are limited.
+const UNUSED_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long leases are renewed after the last confirmed ownership; a successor waits this long.
-const RENEW_UNCONFIRMED_US: u64 = agatesill_policy::fleet::ORPHAN_MS * US_PER_MS;
+/// How long leases are renewed after ownership was last confirmed. A successor waits this long.
+const MAX_UNCONFIRMED_US: u64 = agatesill_policy::fleet::ORPHAN_MS * US_PER_MS;
 
-/// What the tasks of one line share.
+/// State shared by the tasks that serve the connections to one worker.
 #[derive(Debug)]
-pub struct Line {
+pub struct WorkerConnection {
     worker: WorkerIndex,
     incarnation: String,
     addr: SocketAddr,
     acked_end: AtomicU64,
-    /// Woken when [`Line::acked_end`] rises.
+    /// Notified when [`WorkerConnection::acked_end`] increases.
     acked: Notify,
     clock_offset_ms: AtomicI64,
-    /// Newest end of a lease that was asked for, on the worker's clock.
-    asked_until_ms: AtomicU64,
-    /// Whether the newest poll was answered.
+    /// Latest lease end that was requested, on the worker's clock.
+    requested_until_ms: AtomicU64,
+    /// Whether the last poll was answered.
     is_answering: AtomicBool,
-    /// Whether nothing runs there.
+    /// Whether nothing runs on the worker.
     is_idle: AtomicBool,
-    /// Woken when an idle worker gets an order.
-    busy: Notify,
-    /// Whether starts may be sent: the worker stays and its zone takes work.
+    /// Notified when an idle worker gets an order.
+    got_order: Notify,
+    /// Whether starts may be sent: the worker is not leaving and its zone is open.
     takes_starts: AtomicBool,
-    /// Woken when an order holds up those behind it.
-    held_up: Notify,
+    /// Notified when an order blocks those queued behind it.
+    blocked: Notify,
     stop: CancellationToken,
 }
 
-impl Line {
-    /// Waits until an end need not be listed any more, so that the next poll waits for another.
-    async fn until_acked(&self, end: u64) {
-        tokio::time::sleep(GATHER_PAUSE).await;
+impl WorkerConnection {
+    /// Waits until the worker may discard an end, so that the next poll waits for another one.
+    async fn wait_until_acked(&self, end: u64) {
+        tokio::time::sleep(GATHER_DELAY).await;
         let acked = async {
             while self.acked_end.load(Ordering::Acquire) < end {
                 self.acked.notified().await;
             }
         };
-        if tokio::time::timeout(ACK_LIMIT, acked).await.is_err() {
-            log::debug!(event = "end_unacknowledged", worker = self.incarnation.as_str(), end = end; "");
+        if tokio::time::timeout(ACK_TIMEOUT, acked).await.is_err() {
+            log::debug!(event = "end_unacknowledged", worker = self.incarnation.as_str(), end = end;
+                "");
         }
     }
 }
 
-/// The lines to all workers.
-pub struct WorkerLines {
-    site: Arc<Site>,
+/// Connections to all workers.
+pub struct WorkerConnections {
+    daemon: Arc<DaemonState>,
     epoch: u64,
     lease_ms: u64,
     answers: mpsc::Sender<Answer>,
     stop: CancellationToken,
     tasks: TaskTracker,
-    lines: HashMap<WorkerIndex, (Arc<Line>, mpsc::Sender<Order>)>,
+    connections: HashMap<WorkerIndex, (Arc<WorkerConnection>, mpsc::Sender<Order>)>,
 }
 
-impl WorkerLines {
-    /// No lines yet.
+impl WorkerConnections {
+    /// Creates the set without any connections.
     pub fn new(
-        site: Arc<Site>,
+        daemon: Arc<DaemonState>,
         epoch: u64,
         answers: mpsc::Sender<Answer>,
         stop: CancellationToken,
         tasks: TaskTracker,
     ) -> Self {
-        let lease_ms = Fleet::new(site.settings.bounds.clone()).lease_ms();
-        Self { site, epoch, lease_ms, answers, stop, tasks, lines: HashMap::new() }
+        let lease_ms = Fleet::new(daemon.settings.bounds.clone()).lease_ms();
+        Self { daemon, epoch, lease_ms, answers, stop, tasks, connections: HashMap::new() }
     }
 
-    /// Whether the line to a worker is open.
+    /// Whether the connections to a worker are open.
     pub fn is_open(&self, index: WorkerIndex) -> bool {
-        self.lines.contains_key(&index)
+        self.connections.contains_key(&index)
     }
 
-    /// Opens the line to a worker, unless it is open.
+    /// Opens the connections to a worker, unless they are open or the worker is terminated.
     pub fn open(&mut self, index: WorkerIndex, worker: &Worker) {
-        if self.lines.contains_key(&index) || worker.standing == WorkerStanding::Gone {
+        if self.connections.contains_key(&index) || worker.standing == WorkerStanding::Gone {
             return;
         }
         let Ok(addr) = worker.entry.address.parse() else { return };
-        let line = Arc::new(Line {
+        let connection = Arc::new(WorkerConnection {
             worker: index,
             incarnation: worker.entry.id.clone(),
             addr,
             acked_end: AtomicU64::new(0),
             acked: Notify::new(),
             clock_offset_ms: AtomicI64::new(0),
-            asked_until_ms: AtomicU64::new(0),
+            requested_until_ms: AtomicU64::new(0),
             is_answering: AtomicBool::new(false),
             is_idle: AtomicBool::new(false),
-            busy: Notify::new(),
+            got_order: Notify::new(),
             takes_starts: AtomicBool::new(worker.takes_starts()),
-            held_up: Notify::new(),
+            blocked: Notify::new(),
             stop: self.stop.child_token(),
         });
-        let (orders, ring) = mpsc::channel(RING_ORDERS);
-        self.tasks.spawn(self.caller().poll_until_stopped(line.clone()));
-        let ring = Arc::new(Mutex::new(ring));
-        self.tasks.spawn(self.caller().order_until_stopped(line.clone(), ring.clone()));
-        self.tasks.spawn(self.caller().stand_in_until_stopped(line.clone(), ring));
-        self.lines.insert(index, (line, orders));
+        let (orders, order_queue) = mpsc::channel(ORDER_QUEUE_CAPACITY);
+        self.tasks.spawn(self.client().poll_until_stopped(connection.clone()));
+        let order_queue = Arc::new(Mutex::new(order_queue));
+        self.tasks
+            .spawn(self.client().order_until_stopped(connection.clone(), order_queue.clone()));
+        self.tasks.spawn(self.client().overflow_until_stopped(connection.clone(), order_queue));
+        self.connections.insert(index, (connection, orders));
     }
 
-    fn caller(&self) -> Caller {
-        Caller {
-            site: self.site.clone(),
+    fn client(&self) -> WorkerClient {
+        WorkerClient {
+            daemon: self.daemon.clone(),
             epoch: self.epoch,
             lease_ms: self.lease_ms,
             answers: self.answers.clone(),
         }
     }
 
-    /// Gives an order to its worker's line.
+    /// Queues an order for its worker.
     pub fn send(&self, order: Order) {
-        let Some((line, orders)) = self.lines.get(&order.worker) else { return };
-        if line.is_idle.swap(false, Ordering::Relaxed) {
-            line.busy.notify_one();
+        let Some((connection, orders)) = self.connections.get(&order.worker) else { return };
+        if connection.is_idle.swap(false, Ordering::Relaxed) {
+            connection.got_order.notify_one();
         }
         if let Err(error) = orders.try_send(order) {
             log::error!(event = "order_ring_full"; "{error}");
         }
     }
 
-    /// The newest end that a worker may forget.
+    /// Sets the newest end that a worker may discard.
     pub fn set_acked(&self, worker: WorkerIndex, acked_end: u64) {
-        if let Some((line, _)) = self.lines.get(&worker) {
-            if line.acked_end.swap(acked_end, Ordering::AcqRel) != acked_end {
-                line.acked.notify_one();
+        if let Some((connection, _)) = self.connections.get(&worker) {
+            if connection.acked_end.swap(acked_end, Ordering::AcqRel) != acked_end {
+                connection.acked.notify_one();
             }
         }
     }
 
-    /// Notes whether nothing runs on a worker.
+    /// Sets whether nothing runs on a worker.
     pub fn set_idle(&self, worker: WorkerIndex, is_idle: bool) {
-        if let Some((line, _)) = self.lines.get(&worker) {
-            line.is_idle.store(is_idle, Ordering::Relaxed);
+        if let Some((connection, _)) = self.connections.get(&worker) {
+            connection.is_idle.store(is_idle, Ordering::Relaxed);
         }
     }
 
-    /// Notes whether a worker takes starts; those that wait in the line of one that does not are
-    /// withheld.
+    /// Sets whether a worker takes starts. Queued starts of a worker that does not are withheld.
     pub fn set_takes_starts(&self, worker: WorkerIndex, takes_starts: bool) {
-        if let Some((line, _)) = self.lines.get(&worker) {
-            line.takes_starts.store(takes_starts, Ordering::Relaxed);
+        if let Some((connection, _)) = self.connections.get(&worker) {
+            connection.takes_starts.store(takes_starts, Ordering::Relaxed);
         }
     }
 
-    /// Closes the line to a worker whose incarnation is over.
+    /// Closes the connections to a worker whose incarnation has ended.
     pub fn close(&mut self, worker: WorkerIndex) {
-        if let Some((line, _)) = self.lines.remove(&worker) {
-            line.stop.cancel();
+        if let Some((connection, _)) = self.connections.remove(&worker) {
+            connection.stop.cancel();
         }
     }
 }
 
-struct Caller {
-    site: Arc<Site>,
+struct WorkerClient {
+    daemon: Arc<DaemonState>,
     epoch: u64,
     lease_ms: u64,
     answers: mpsc::Sender<Answer>,
 }
 
-impl Caller {
-    /// Tells the planner; false once it has ended.
-    async fn tell(&self, event: Event) -> bool {
-        let answer = Answer { told_us: self.site.clock.now_us(), event };
+impl WorkerClient {
+    /// Reports an event to the planner; false if the planner has ended.
+    async fn send_event(&self, event: Event) -> bool {
+        let answer = Answer { reported_us: self.daemon.clock.now_us(), event };
         self.answers.send(answer).await.is_ok()
     }
 
-    /// End of the lease to ask for, on the worker's clock; `None` if none may be asked for.
+    /// Lease end to request, on the worker's clock; `None` if no lease may be requested.
     ///
-    /// Guards against an owner that is cut off from the store and goes on renewing for ever: its
-    /// successor could never tell when a task on a worker that it can't reach has ended. And
-    /// against renewing a worker whose answers don't come: its requests may arrive all the same,
-    /// and its tasks would never be free to start elsewhere.
-    fn lease_to_ask_ms(&self, line: &Line) -> Option<u64> {
-        let now_us = self.site.clock.now_us();
-        let confirmed_us = self.site.confirmed_us.load(Ordering::Acquire);
-        let is_owner = now_us.saturating_sub(confirmed_us) < RENEW_UNCONFIRMED_US;
-        if !is_owner || !line.is_answering.load(Ordering::Acquire) {
+    /// Guards against an owner that is cut off from the store and renews leases forever: its
+    /// successor could never know when a task on a worker that it cannot reach has ended. Also
+    /// guards against renewing the lease of a worker whose answers are lost: requests may still
+    /// reach it, and its tasks could never be started elsewhere.
+    fn lease_to_request_ms(&self, connection: &WorkerConnection) -> Option<u64> {
+        let now_us = self.daemon.clock.now_us();
+        let confirmed_us = self.daemon.confirmed_us.load(Ordering::Acquire);
+        let is_owner = now_us.saturating_sub(confirmed_us) < MAX_UNCONFIRMED_US;
+        if !is_owner || !connection.is_answering.load(Ordering::Acquire) {
             return None;
         }
         let now_ms = (now_us / US_PER_MS) as i64;
-        let worker_ms = now_ms + line.clock_offset_ms.load(Ordering::Acquire);
+        let worker_ms = now_ms + connection.clock_offset_ms.load(Ordering::Acquire);
         let until_ms = worker_ms.max(0) as u64 + self.lease_ms;
-        line.asked_until_ms.fetch_max(until_ms, Ordering::AcqRel);
+        connection.requested_until_ms.fetch_max(until_ms, Ordering::AcqRel);
         Some(until_ms)
     }
 
-    async fn poll_until_stopped(self, line: Arc<Line>) {
+    async fn poll_until_stopped(self, connection: Arc<WorkerConnection>) {
         tokio::select! {
-            () = line.stop.cancelled() => {}
-            () = self.poll_for_ever(&line) => {}
+            () = connection.stop.cancelled() => {}
+            () = self.poll_loop(&connection) => {}
         }
     }
 
-    async fn poll_for_ever(&self, line: &Line) {
-        let mut channel = WorkerChannel::new(line.addr, &line.incarnation);
+    async fn poll_loop(&self, connection: &WorkerConnection) {
+        let mut channel = WorkerChannel::new(connection.addr, &connection.incarnation);
         let mut wait_ms = 0;
         loop {
             let mut newest_end = None;
-            let sent_us = self.site.clock.now_us();
-            let lease = self.lease_to_ask_ms(line);
-            let acked_end = line.acked_end.load(Ordering::Acquire);
-            let limit = Duration::from_millis(wait_ms) + POLL_SLACK;
+            let sent_us = self.daemon.clock.now_us();
+            let lease = self.lease_to_request_ms(connection);
+            let acked_end = connection.acked_end.load(Ordering::Acquire);
+            let timeout = Duration::from_millis(wait_ms) + POLL_TIMEOUT_MARGIN;
             let polled =
-                channel.poll(self.epoch, lease.unwrap_or(0), acked_end, wait_ms, limit).await;
-            let (event, pause) = match polled {
+                channel.poll(self.epoch, lease.unwrap_or(0), acked_end, wait_ms, timeout).await;
+            let (event, delay) = match polled {
                 Ok(PollOutcome::Reply(mut poll)) => {
-                    let now_ms = (self.site.clock.now_us() / US_PER_MS) as i64;
-                    line.clock_offset_ms.store(poll.clock_ms as i64 - now_ms, Ordering::Release);
-                    line.is_answering.store(true, Ordering::Release);
+                    let now_ms = (self.daemon.clock.now_us() / US_PER_MS) as i64;
+                    connection
+                        .clock_offset_ms
+                        .store(poll.clock_ms as i64 - now_ms, Ordering::Release);
+                    connection.is_answering.store(true, Ordering::Release);
                     poll.sent_us = sent_us;
                     poll.lease_ms = self.lease_ms;
-                    // Right after the first poll, which could ask for no lease, comes another.
-                    wait_ms = if line.asked_until_ms.load(Ordering::Acquire) == 0 {
+                    // The first poll could not request a lease, so another one follows at once.
+                    wait_ms = if connection.requested_until_ms.load(Ordering::Acquire) == 0 {
                         0
-                    } else if line.is_idle.load(Ordering::Relaxed) {
+                    } else if connection.is_idle.load(Ordering::Relaxed) {
                         IDLE_WAIT_MS
                     } else {
                         POLL_WAIT_MS
                     };
                     newest_end = poll.ended.iter().map(|end| end.number).max();
-                    (Event::Polled(line.worker, Box::new(poll)), Duration::ZERO)
+                    (Event::Polled(connection.worker, Box::new(poll)), Duration::ZERO)
                 }
                 Ok(PollOutcome::OtherIncarnation) => {
-                    (Event::OtherIncarnation(line.worker), POLL_PAUSE)
+                    (Event::OtherIncarnation(connection.worker), POLL_BACKOFF)
                 }
-                Ok(PollOutcome::Fenced) => (Event::Fenced(line.worker), POLL_PAUSE),
+                Ok(PollOutcome::Fenced) => (Event::Fenced(connection.worker), POLL_BACKOFF),
                 Err(error) => {
-                    log::debug!(event = "poll_failed", worker = line.incarnation.as_str(); "{error}");
-                    line.is_answering.store(false, Ordering::Release);
-                    (Event::Silent(line.worker, lease.map(|_| sent_us)), POLL_PAUSE)
+                    log::debug!(event = "poll_failed", worker = connection.incarnation.as_str();
+                        "{error}");
+                    connection.is_answering.store(false, Ordering::Release);
+                    (Event::Silent(connection.worker, lease.map(|_| sent_us)), POLL_BACKOFF)
                 }
             };
-            if !self.tell(event).await {
+            if !self.send_event(event).await {
                 return;
             }
             if let Some(end) = newest_end {
-                line.until_acked(end).await;
+                connection.wait_until_acked(end).await;
             }
-            if !pause.is_zero() {
-                tokio::time::sleep(pause).await;
-            } else if line.is_idle.load(Ordering::Relaxed) {
-                // Over either way: the worker has something to do, or it is time to ask again.
-                drop(tokio::time::timeout(IDLE_PAUSE, line.busy.notified()).await);
+            if !delay.is_zero() {
+                tokio::time::sleep(delay).await;
+            } else if connection.is_idle.load(Ordering::Relaxed) {
+                // Both outcomes are fine: the worker got an order, or the next poll is due.
+                drop(
+                    tokio::time::timeout(IDLE_POLL_INTERVAL, connection.got_order.notified()).await,
+                );
             }
         }
     }
 
-    async fn order_until_stopped(self, line: Arc<Line>, ring: Arc<Mutex<mpsc::Receiver<Order>>>) {
+    async fn order_until_stopped(
+        self,
+        connection: Arc<WorkerConnection>,
+        order_queue: Arc<Mutex<mpsc::Receiver<Order>>>,
+    ) {
         tokio::select! {
-            () = line.stop.cancelled() => {}
-            () = self.order_for_ever(&line, &ring) => {}
+            () = connection.stop.cancelled() => {}
+            () = self.order_loop(&connection, &order_queue) => {}
         }
     }
 
-    async fn order_for_ever(&self, line: &Line, ring: &Mutex<mpsc::Receiver<Order>>) {
-        let mut channel = WorkerChannel::new(line.addr, &line.incarnation);
+    async fn order_loop(
+        &self,
+        connection: &WorkerConnection,
+        order_queue: &Mutex<mpsc::Receiver<Order>>,
+    ) {
+        let mut channel = WorkerChannel::new(connection.addr, &connection.incarnation);
         loop {
             let next = {
-                let mut ring = ring.lock().await;
-                match tokio::time::timeout(UNUSED, ring.recv()).await {
+                let mut order_queue = order_queue.lock().await;
+                match tokio::time::timeout(UNUSED_CONNECTION_TIMEOUT, order_queue.recv()).await {
                     Ok(next) => next,
                     Err(_) => {
                         channel.close();
-                        ring.recv().await
+                        order_queue.recv().await
                     }
                 }
             };
             let Some(order) = next else { return };
-            let give = self.give(line, &mut channel, order);
-            tokio::pin!(give);
-            let event = match tokio::time::timeout(HELD_UP, give.as_mut()).await {
+            let sending = self.send_order(connection, &mut channel, order);
+            tokio::pin!(sending);
+            let event = match tokio::time::timeout(SECOND_CONNECTION_DELAY, sending.as_mut()).await
+            {
                 Ok(event) => event,
                 Err(_) => {
-                    line.held_up.notify_one();
-                    give.await
+                    connection.blocked.notify_one();
+                    sending.await
                 }
             };
-            if !self.tell(event).await {
+            if !self.send_event(event).await {
                 return;
             }
         }
     }
 
-    async fn stand_in_until_stopped(
+    async fn overflow_until_stopped(
         self,
-        line: Arc<Line>,
-        ring: Arc<Mutex<mpsc::Receiver<Order>>>,
+        connection: Arc<WorkerConnection>,
+        order_queue: Arc<Mutex<mpsc::Receiver<Order>>>,
     ) {
         tokio::select! {
-            () = line.stop.cancelled() => {}
-            () = self.stand_in_for_ever(&line, &ring) => {}
+            () = connection.stop.cancelled() => {}
+            () = self.overflow_loop(&connection, &order_queue) => {}
         }
     }
 
-    /// Gives orders while one holds up the others.
-    async fn stand_in_for_ever(&self, line: &Line, ring: &Mutex<mpsc::Receiver<Order>>) {
-        let mut channel = WorkerChannel::new(line.addr, &line.incarnation);
+    /// Sends orders while another order blocks the first connection.
+    async fn overflow_loop(
+        &self,
+        connection: &WorkerConnection,
+        order_queue: &Mutex<mpsc::Receiver<Order>>,
+    ) {
+        let mut channel = WorkerChannel::new(connection.addr, &connection.incarnation);
         loop {
-            line.held_up.notified().await;
+            connection.blocked.notified().await;
             loop {
-                let next =
-                    tokio::time::timeout(ORDER_LIMIT, async { ring.lock().await.recv().await });
+                let next = tokio::time::timeout(ORDER_TIMEOUT, async {
+                    order_queue.lock().await.recv().await
+                });
                 let Ok(next) = next.await else { break };
                 let Some(order) = next else { return };
-                let event = self.give(line, &mut channel, order).await;
-                if !self.tell(event).await {
+                let event = self.send_order(connection, &mut channel, order).await;
+                if !self.send_event(event).await {
                     return;
                 }
             }
@@ -376,28 +398,35 @@
         }
     }
 
-    /// Whether a start may still be sent: what it was decided on holds.
-    fn may_start(&self, line: &Line, order: &Order) -> bool {
-        let age_us = self.site.clock.now_us().saturating_sub(order.decided_us);
-        line.takes_starts.load(Ordering::Relaxed)
-            && age_us < LONGEST_START_AGE_US
-            && self.site.knows_who_leaves()
+    /// Whether a start may still be sent: the conditions under which it was decided hold.
+    fn may_start(&self, connection: &WorkerConnection, order: &Order) -> bool {
+        let age_us = self.daemon.clock.now_us().saturating_sub(order.decided_us);
+        connection.takes_starts.load(Ordering::Relaxed)
+            && age_us < MAX_START_AGE_US
+            && self.daemon.is_registry_current()
     }
 
-    async fn give(&self, line: &Line, channel: &mut WorkerChannel, order: Order) -> Event {
+    async fn send_order(
+        &self,
+        connection: &WorkerConnection,
+        channel: &mut WorkerChannel,
+        order: Order,
+    ) -> Event {
         let is_start = matches!(order.kind, OrderKind::Start { .. });
-        if is_start && !self.may_start(line, &order) {
+        if is_start && !self.may_start(connection, &order) {
             return Event::Answered(Box::new(order), OrderOutcome::Withheld, None);
         }
-        let sent_us = self.site.clock.now_us();
-        let lease = self.lease_to_ask_ms(line);
-        // Without leave to renew, an order carries the lease that was asked for before.
-        let until_ms = lease.unwrap_or_else(|| line.asked_until_ms.load(Ordering::Acquire));
+        let sent_us = self.daemon.clock.now_us();
+        let lease = self.lease_to_request_ms(connection);
+        // If no lease may be requested, the order carries the end that was requested before.
+        let until_ms =
+            lease.unwrap_or_else(|| connection.requested_until_ms.load(Ordering::Acquire));
         let (task, kind) = (&order.task, &order.kind);
-        let begun = Instant::now();
-        let outcome = channel.order(self.epoch, task, order.run, kind, until_ms, ORDER_LIMIT).await;
+        let started = Instant::now();
+        let outcome =
+            channel.order(self.epoch, task, order.run, kind, until_ms, ORDER_TIMEOUT).await;
         let is_answered = outcome != OrderOutcome::Unanswered;
-        self.site.metrics.order(kind.name(), is_answered, begun.elapsed());
+        self.daemon.metrics.order(kind.name(), is_answered, started.elapsed());
         Event::Answered(Box::new(order), outcome, lease.map(|_| sent_us))
     }
 }
--- a/crates/agatesilld/tests/fleet_soak/callers.rs
+++ b/crates/agatesilld/tests/fleet_soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they hand jobs in, repeat, cancel, ask for states, and judge what they are told.
+//! Callers that submit jobs, retry, cancel and poll states, and verify the answers.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,244 +12,264 @@
 
 use crate::daemon::Daemon;
 use crate::faults;
-use crate::run::History;
+use crate::run::FaultHistory;
 use crate::support::caller::{Connection, Outcome};
 use crate::support::settings::{self, Step, TaskFault};
 use crate::support::simulated_workers::SimulatedWorkers;
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Times that a caller hands a job in before it gives up.
-const TRIES: usize = 4;
+/// Attempts to submit a job before the caller gives up.
+const MAX_SUBMIT_ATTEMPTS: usize = 4;
 
 /// Connections that callers keep open to each daemon.
-const LINES: usize = 4;
+const CONNECTIONS_PER_DAEMON: usize = 4;
 
-/// Time between two questions of the balancer, and how long it waits for an answer.
-const BALANCING: Duration = Duration::from_millis(300);
+/// Interval between readiness checks of the load balancer, and their timeout.
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time between two questions for a job's state.
-const ASKING: Duration = Duration::from_millis(350);
+/// Interval between queries for a job's state.
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(350);
 
-/// From this long after the acceptance every daemon must know a job.
-const VISIBLE: Duration = Duration::from_secs(3);
+/// Time after the acceptance from which every daemon must know a job.
+const MAX_VISIBILITY_DELAY: Duration = Duration::from_secs(3);
 
 /// Numbers of the jobs with tasks that crash their workers, in runs that have such jobs.
 const CRASHING_JOBS: [u32; 2] = [5, 23];
 
-/// What callers know about a job.
+/// A job as the callers know it.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct KnownJob {
     pub queue: &'static str,
     pub steps: Vec<Step>,
     pub task_fault: TaskFault,
-    pub handing: Handing,
+    pub submission: Submission,
     pub is_cancelled: bool,
-    pub shown: String,
+    pub last_state: String,
 }
 
-/// How handing in ended.
+/// Outcome of submitting a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Handing {
-    /// Acknowledged.
+pub enum Submission {
+    /// The job was acknowledged.
     Accepted(Instant),
-    /// Every try was answered with a refusal.
+    /// Every attempt was refused.
     Refused,
-    /// Nobody can tell.
+    /// At least one attempt had an unknown outcome and none was acknowledged.
     Unknown,
 }
 
 /// All callers of a run.
 pub struct Callers {
-    pub known: Mutex<HashMap<String, Known>>,
+    pub known_jobs: Mutex<HashMap<String, KnownJob>>,
     pub violations: Mutex<Vec<String>>,
     daemons: Vec<Arc<Daemon>>,
-    /// Whether the balancer makes new connections to each daemon.
-    is_offered: Vec<AtomicBool>,
-    lines: Vec<Vec<AsyncMutex<Connection>>>,
-    floor: Arc<SimulatedWorkers>,
-    history: Arc<History>,
+    /// Whether the load balancer opens new connections to each daemon.
+    accepts_connections: Vec<AtomicBool>,
+    connections: Vec<Vec<AsyncMutex<Connection>>>,
+    simulated_workers: Arc<SimulatedWorkers>,
+    history: Arc<FaultHistory>,
 }
 
-/// What the answer to one request means to a caller.
+/// Outcome of one request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum RequestOutcome {
     /// Status and body.
     Answer(u16, String),
-    /// It was never read.
+    /// The daemon never read the request.
     NotSent,
-    /// No answer.
-    Nothing,
+    /// No answer arrived.
+    NoAnswer,
 }
 
 impl Callers {
     pub fn new(
         daemons: &[Arc<Daemon>],
-        floor: Arc<SimulatedWorkers>,
-        history: Arc<History>,
+        simulated_workers: Arc<SimulatedWorkers>,
+        history: Arc<FaultHistory>,
     ) -> Self {
-        let lines = |daemon: &Arc<Daemon>| {
-            (0..LINES).map(|_| AsyncMutex::new(Connection::new(daemon.places.entry))).collect()
+        let open_connections = |daemon: &Arc<Daemon>| {
+            (0..CONNECTIONS_PER_DAEMON)
+                .map(|_| AsyncMutex::new(Connection::new(daemon.places.entry)))
+                .collect()
         };
         Self {
-            known: Mutex::default(),
+            known_jobs: Mutex::default(),
             violations: Mutex::default(),
-            lines: daemons.iter().map(lines).collect(),
-            is_offered: daemons.iter().map(|_| AtomicBool::new(true)).collect(),
+            connections: daemons.iter().map(open_connections).collect(),
+            accepts_connections: daemons.iter().map(|_| AtomicBool::new(true)).collect(),
             daemons: daemons.to_vec(),
-            floor,
+            simulated_workers,
             history,
         }
     }
 
-    /// Asks the daemons whether they take callers, as the balancer does, until the run is over.
-    pub async fn balance(self: Arc<Self>) {
-        while !self.history.is_over() {
-            for (daemon, is_offered) in self.daemons.iter().zip(&self.is_offered) {
-                let asked = tokio::time::timeout(BALANCING, daemon.is_ready()).await;
-                is_offered.store(asked.unwrap_or(false), Ordering::Relaxed);
+    /// Checks the readiness of the daemons, as the load balancer does, until the run is over.
+    pub async fn check_readiness(self: Arc<Self>) {
+        while !self.history.is_finished() {
+            for (daemon, accepts_connections) in self.daemons.iter().zip(&self.accepts_connections)
+            {
+                let asked = tokio::time::timeout(READINESS_CHECK_INTERVAL, daemon.is_ready()).await;
+                accepts_connections.store(asked.unwrap_or(false), Ordering::Relaxed);
             }
-            tokio::time::sleep(BALANCING).await;
+            tokio::time::sleep(READINESS_CHECK_INTERVAL).await;
         }
     }
 
-    fn complain(&self, what: String) {
+    fn add_violation(&self, what: String) {
         self.violations.lock().unwrap().push(what);
     }
 
-    /// One request to a daemon, on a connection that stays open.
-    pub async fn ask(
+    /// Sends one request to a daemon, on a connection that stays open.
+    pub async fn send_request(
         &self,
         daemon: usize,
         method: Method,
         queue: &str,
         id: &str,
         body: &str,
-    ) -> Told {
+    ) -> RequestOutcome {
         let host = format!("{queue}.example");
         let path = format!("/{queue}/{id}");
-        let what = format!("{method} {path} at {}", self.daemons[daemon].name);
-        let line = &self.lines[daemon][id.bytes().map(usize::from).sum::<usize>() % LINES];
-        let mut line = line.lock().await;
-        if !line.is_open() && !self.is_offered[daemon].load(Ordering::Relaxed) {
-            return Told::NotSent;
+        let request = format!("{method} {path} at {}", self.daemons[daemon].name);
+        let connection = &self.connections[daemon]
+            [id.bytes().map(usize::from).sum::<usize>() % CONNECTIONS_PER_DAEMON];
+        let mut connection = connection.lock().await;
+        if !connection.is_open() && !self.accepts_connections[daemon].load(Ordering::Relaxed) {
+            return RequestOutcome::NotSent;
         }
         let sent = Instant::now();
-        let outcome = tokio::time::timeout(PATIENCE, line.call(method, &host, &path, body)).await;
-        drop(line);
-        let told = match outcome {
-            Ok(Outcome::Answered((status, _, body))) => Told::Answer(status, body),
-            Ok(Outcome::NotSent) => Told::NotSent,
-            Ok(Outcome::Cut) | Err(_) => Told::Nothing,
+        let outcome =
+            tokio::time::timeout(REQUEST_TIMEOUT, connection.call(method, &host, &path, body))
+                .await;
+        drop(connection);
+        let outcome = match outcome {
+            Ok(Outcome::Answered((status, _, body))) => RequestOutcome::Answer(status, body),
+            Ok(Outcome::NotSent) => RequestOutcome::NotSent,
+            Ok(Outcome::Cut) | Err(_) => RequestOutcome::NoAnswer,
         };
-        if told == Told::Nothing && self.history.was_calm(sent) {
-            self.complain(format!("{what} was not answered though nothing was amiss"));
+        if outcome == RequestOutcome::NoAnswer && self.history.was_fault_free(sent) {
+            self.add_violation(format!("{request} was not answered although no fault was active"));
         }
-        told
+        outcome
     }
 
-    /// Hands one job in and follows it to its end.
+    /// Submits one job and polls its state until the state is final.
     pub async fn live(self: Arc<Self>, seed: u64, number: u32) {
         let mut random = Pcg64Mcg::seed_from_u64(seed << 16 | u64::from(number));
         let id = format!("{:08x}{number:08x}", seed as u32);
-        let (queue, steps, mut task_fault) = draw(&mut random, number);
+        let (queue, steps, mut task_fault) = draw_job(&mut random, number);
         if faults::has_crashing_tasks(seed) && CRASHING_JOBS.contains(&number) {
             task_fault = TaskFault::CrashesWorker;
         }
-        self.floor.submit(&id, &steps);
+        self.simulated_workers.submit(&id, &steps);
         let body = settings::job(&steps, task_fault);
-        let handing = self.hand_in(&mut random, queue, &id, &body).await;
-        let known =
-            Known { queue, steps, task_fault, handing, is_cancelled: false, shown: String::new() };
-        self.known.lock().unwrap().insert(id.clone(), known);
-        let Handing::Accepted(at) = handing else { return };
+        let submission = self.submit_job(&mut random, queue, &id, &body).await;
+        let job = KnownJob {
+            queue,
+            steps,
+            task_fault,
+            submission,
+            is_cancelled: false,
+            last_state: String::new(),
+        };
+        self.known_jobs.lock().unwrap().insert(id.clone(), job);
+        let Submission::Accepted(at) = submission else { return };
         if number % 7 == 0 && number > 0 {
             self.cancel(&mut random, queue, &id).await;
         }
-        self.follow(&mut random, queue, &id, at).await;
+        self.poll_state(&mut random, queue, &id, at).await;
     }
 
-    async fn hand_in(&self, random: &mut Pcg64Mcg, queue: &str, id: &str, body: &str) -> Handing {
+    async fn submit_job(
+        &self,
+        random: &mut Pcg64Mcg,
+        queue: &str,
+        id: &str,
+        body: &str,
+    ) -> Submission {
         let mut is_unknown = false;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_SUBMIT_ATTEMPTS {
             let daemon = random.random_range(0..self.daemons.len());
-            match self.ask(daemon, Method::POST, queue, id, body).await {
-                Told::Answer(200, _) => return Handing::Accepted(Instant::now()),
-                Told::Answer(429 | 503, _) | Told::NotSent => {}
-                Told::Answer(..) | Told::Nothing => is_unknown = true,
+            match self.send_request(daemon, Method::POST, queue, id, body).await {
+                RequestOutcome::Answer(200, _) => return Submission::Accepted(Instant::now()),
+                RequestOutcome::Answer(429 | 503, _) | RequestOutcome::NotSent => {}
+                RequestOutcome::Answer(..) | RequestOutcome::NoAnswer => is_unknown = true,
             }
             tokio::time::sleep(Duration::from_millis(random.random_range(200..800))).await;
         }
-        if is_unknown { Handing::Unknown } else { Handing::Refused }
+        if is_unknown { Submission::Unknown } else { Submission::Refused }
     }
 
     async fn cancel(&self, random: &mut Pcg64Mcg, queue: &str, id: &str) {
         tokio::time::sleep(Duration::from_millis(random.random_range(0..900))).await;
-        if let Some(known) = self.known.lock().unwrap().get_mut(id) {
-            known.is_cancelled = true;
+        if let Some(job) = self.known_jobs.lock().unwrap().get_mut(id) {
+            job.is_cancelled = true;
         }
         let until = Instant::now() + Duration::from_secs(20);
         while Instant::now() < until {
             let daemon = random.random_range(0..self.daemons.len());
-            match self.ask(daemon, Method::DELETE, queue, id, "").await {
-                Told::Answer(200..300, _) => return self.floor.cancelled(id),
-                Told::Answer(410, _) => {
-                    self.complain(format!("{id} is accepted, its cancel got 410"))
-                }
+            match self.send_request(daemon, Method::DELETE, queue, id, "").await {
+                RequestOutcome::Answer(200..300, _) => return self.simulated_workers.cancelled(id),
+                RequestOutcome::Answer(410, _) => self.add_violation(format!(
+                    "{id} was accepted, but its cancel was answered with 410"
+                )),
                 _ => {}
             }
-            tokio::time::sleep(ASKING).await;
+            tokio::time::sleep(STATE_POLL_INTERVAL).await;
         }
     }
 
-    async fn follow(&self, random: &mut Pcg64Mcg, queue: &str, id: &str, accepted: Instant) {
-        while !self.history.is_over() {
-            tokio::time::sleep(ASKING).await;
+    async fn poll_state(&self, random: &mut Pcg64Mcg, queue: &str, id: &str, accepted: Instant) {
+        while !self.history.is_finished() {
+            tokio::time::sleep(STATE_POLL_INTERVAL).await;
             let daemon = random.random_range(0..self.daemons.len());
             let asked = Instant::now();
-            match self.ask(daemon, Method::GET, queue, id, "").await {
-                Told::Answer(200, body) if self.shown(id, &body) => return,
-                Told::Answer(410, _) if asked - accepted > VISIBLE => {
+            match self.send_request(daemon, Method::GET, queue, id, "").await {
+                RequestOutcome::Answer(200, body) if self.record_state(id, &body) => return,
+                RequestOutcome::Answer(410, _) if asked - accepted > MAX_VISIBILITY_DELAY => {
                     let name = &self.daemons[daemon].name;
-                    self.complain(format!("{id} is accepted, but {name} does not know it"));
+                    self.add_violation(format!("{id} was accepted, but {name} does not know it"));
                 }
                 _ => {}
             }
         }
     }
 
-    /// Takes in the state that a caller is shown; true if it is final.
-    pub fn shown(&self, id: &str, body: &str) -> bool {
-        let mut known = self.known.lock().unwrap();
-        let Some(job) = known.get_mut(id) else { return true };
+    /// Records the state that was reported to a caller and verifies it; true if it is final.
+    pub fn record_state(&self, id: &str, body: &str) -> bool {
+        let mut known_jobs = self.known_jobs.lock().unwrap();
+        let Some(job) = known_jobs.get_mut(id) else { return true };
         let state = ["completed", "failed", "cancelled", "running", "queued"]
             .into_iter()
             .find(|state| body.contains(state));
         let state = state.unwrap_or("none");
-        job.shown = state.to_owned();
-        let wrong = match state {
-            "completed" if !self.floor.is_done(id) => "though tasks are not done",
+        job.last_state = state.to_owned();
+        let violation = match state {
+            "completed" if !self.simulated_workers.is_done(id) => "although tasks are not done",
             "completed" if job.task_fault == TaskFault::CrashesWorker => {
-                "though one of its tasks crashes every worker"
+                "although one of its tasks crashes every worker"
             }
-            "failed" if job.task_fault == TaskFault::None && !self.history.has_bad_workers() => {
-                "without a failure"
+            "failed"
+                if job.task_fault == TaskFault::None && !self.history.has_failing_workers() =>
+            {
+                "although no task failed"
             }
-            "cancelled" if !job.is_cancelled => "though nobody cancelled it",
-            "none" => "which is no state",
+            "cancelled" if !job.is_cancelled => "although no caller cancelled it",
+            "none" => "which is not a known state",
             _ => "",
         };
-        if !wrong.is_empty() {
-            self.complain(format!("{id} is shown as {body} {wrong}"));
+        if !violation.is_empty() {
+            self.add_violation(format!("{id} is reported as {body} {violation}"));
         }
         matches!(state, "completed" | "failed" | "cancelled")
     }
 }
 
-/// A job by its number: the first three last; the others are the desk's or batch work, some of
-/// which can't be done.
-fn draw(random: &mut Pcg64Mcg, number: u32) -> (&'static str, Vec<Step>, TaskFault) {
+/// Draws a job by its number. The first three are long-running; the others belong to the desk queue
+/// or are batch work, and some of them cannot succeed.
+fn draw_job(random: &mut Pcg64Mcg, number: u32) -> (&'static str, Vec<Step>, TaskFault) {
     let step = |count, work_ms, cpu_milli, is_best_effort, after| Step {
         count,
         work_ms,
--- a/crates/agatesilld/tests/fleet_soak/daemon.rs
+++ b/crates/agatesilld/tests/fleet_soak/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon as a process of its own, with a proxy between it and the store.
+//! A daemon as a separate process, with a proxy between it and the store.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -16,31 +16,31 @@
 use crate::support::proxy::Proxy;
 use crate::support::settings::{self, ListenAddrs};
 
-/// Number of the signal that asks a process to stop.
+/// Number of the termination signal.
 const SIGTERM: i32 = 15;
 
 /// How long a planned stop may take before the process is killed.
-const STOP_LIMIT: Duration = Duration::from_secs(6);
+const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Memory that a daemon may use, in pages of 4 kB: 128 MB.
-const MOST_PAGES: u64 = 32_768;
+/// Memory limit of a daemon, in pages of 4 kB: 128 MB.
+const MAX_MEMORY_PAGES: u64 = 32_768;
 
 pub struct Daemon {
     pub name: String,
     pub places: ListenAddrs,
-    /// Between this daemon and the store.
+    /// Proxy between this daemon and the store.
     pub store: Proxy,
     folder: PathBuf,
     metrics_port: u16,
     child: Mutex<Option<Child>>,
-    /// Whether it was told to stop.
-    is_told: AtomicBool,
-    /// Problems that its process had by itself.
-    troubles: Mutex<Vec<String>>,
+    /// Whether the process was asked to stop.
+    was_asked_to_stop: AtomicBool,
+    /// Failures of the process itself.
+    problems: Mutex<Vec<String>>,
 }
 
 impl Daemon {
-    /// Writes the settings; the process is not started yet.
+    /// Writes the settings. The process is not started yet.
     pub async fn prepare(
         folder: &Path,
         name: &str,
@@ -60,8 +60,8 @@
             folder: folder.to_owned(),
             metrics_port,
             child: Mutex::new(None),
-            is_told: AtomicBool::new(false),
-            troubles: Mutex::default(),
+            was_asked_to_stop: AtomicBool::new(false),
+            problems: Mutex::default(),
         }
     }
 
@@ -85,11 +85,11 @@
             .stderr(errors)
             .spawn()
             .unwrap();
-        self.is_told.store(false, Relaxed);
+        self.was_asked_to_stop.store(false, Relaxed);
         *child = Some(process);
     }
 
-    /// Kills the process without a word.
+    /// Kills the process with SIGKILL.
     pub fn kill(&self) {
         let taken = self.child().take();
         if let Some(mut child) = taken {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Sends a signal to this very process.
+    /// Sends a signal to the process.
     pub fn signal(&self, name: &str) {
         if let Some(child) = self.child().as_ref() {
             let id = child.id().to_string();
@@ -109,12 +109,12 @@
     /// Stops the process as a release does and waits for it; false if it had to be killed.
     pub async fn terminate(&self) -> bool {
         let Some(id) = self.id() else { return true };
-        self.is_told.store(true, Relaxed);
+        self.was_asked_to_stop.store(true, Relaxed);
         self.signal("TERM");
-        let until = Instant::now() + STOP_LIMIT;
+        let until = Instant::now() + STOP_TIMEOUT;
         while Instant::now() < until {
             // Another stop that overlaps with this one may have started the next process.
-            if self.is_over() || self.id() != Some(id) {
+            if self.is_stopped() || self.id() != Some(id) {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -123,18 +123,19 @@
         false
     }
 
-    /// Whether no process runs; one that ended is forgotten.
-    pub fn is_over(&self) -> bool {
+    /// Whether no process runs. An ended process is reaped and its failure recorded.
+    pub fn is_stopped(&self) -> bool {
         let mut child = self.child();
         let Some(process) = child.as_mut() else { return true };
         let Ok(Some(status)) = process.try_wait() else { return false };
         *child = None;
         drop(child);
-        // A process that is stopped before it has installed its handlers ends by the signal: it has
-        // read no request, and nothing of its log says that it served.
-        let is_our_signal = status.signal() == Some(SIGTERM) && self.is_told.swap(false, Relaxed);
+        // A process that is stopped before it has installed its signal handlers is terminated by
+        // the signal. It has read no request, and its log does not report that it served.
+        let is_our_signal =
+            status.signal() == Some(SIGTERM) && self.was_asked_to_stop.swap(false, Relaxed);
         if !status.success() && !is_our_signal {
-            self.troubles.lock().unwrap().push(format!("{} ended with {status}", self.name));
+            self.problems.lock().unwrap().push(format!("{} exited with {status}", self.name));
         }
         true
     }
@@ -145,7 +146,7 @@
     }
 
     /// Lines of its log with this event.
-    pub fn lines(&self, event: &str) -> Vec<serde_json::Value> {
+    pub fn log_lines(&self, event: &str) -> Vec<serde_json::Value> {
         let text = std::fs::read_to_string(self.log_path()).unwrap_or_default();
         text.lines()
             .filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok())
@@ -153,23 +154,23 @@
             .collect()
     }
 
-    /// What went wrong inside the process: it ended by itself, panicked or outgrew its memory.
-    pub fn troubles(&self) -> Vec<String> {
-        let _ = self.is_over();
+    /// Failures of the process: it exited by itself, panicked or exceeded its memory limit.
+    pub fn problems(&self) -> Vec<String> {
+        let _ = self.is_stopped();
         let text = std::fs::read_to_string(self.log_path()).unwrap_or_default();
         let panics = text.lines().filter(|line| line.contains("panicked"));
-        let mut troubles: Vec<String> =
+        let mut problems: Vec<String> =
             panics.map(|line| format!("{}: {line}", self.name)).collect();
-        troubles.extend(self.troubles.lock().unwrap().clone());
-        troubles.extend(
-            self.pages()
-                .filter(|pages| *pages > MOST_PAGES)
-                .map(|pages| format!("{} uses {} MB", self.name, pages * 4 / 1_024)),
+        problems.extend(self.problems.lock().unwrap().clone());
+        problems.extend(
+            self.memory_pages()
+                .filter(|memory_pages| *memory_pages > MAX_MEMORY_PAGES)
+                .map(|memory_pages| format!("{} uses {} MB", self.name, memory_pages * 4 / 1_024)),
         );
-        troubles
+        problems
     }
 
-    fn pages(&self) -> Option<u64> {
+    fn memory_pages(&self) -> Option<u64> {
         let id = self.id()?;
         let text = std::fs::read_to_string(format!("/proc/{id}/statm")).ok()?;
         text.split(' ').nth(1)?.parse().ok()
--- a/crates/agatesilld/tests/fleet_soak/faults.rs
+++ b/crates/agatesilld/tests/fleet_soak/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults strike when, drawn from a seed. They come in series and overlap.
+//! Fault schedules drawn from a seed. Faults come in series and overlap.
 
 use std::time::Duration;
 
@@ -9,127 +9,137 @@
 use crate::support::simulated_workers::WorkerFault;
 use crate::support::store::StoreFault;
 
-/// Faults strike within this time; then everything is mended.
-pub const SPAN: Duration = Duration::from_secs(9);
+/// Faults start within this time; afterwards everything is restored.
+pub const FAULT_PERIOD: Duration = Duration::from_secs(9);
 
-/// From this seed on each run also closes a zone; those before keep the faults that they had.
-const FIRST_WITH_ZONES: u64 = 1_000;
+/// From this seed on each run also closes a zone. Runs of smaller seeds keep their schedules.
+const FIRST_SEED_WITH_CLOSED_ZONE: u64 = 1_000;
 
-/// From this seed on each run also has tasks that crash their workers, crashes of two workers at once and
-/// workers with temporarily reduced capacity.
-const FIRST_WITH_CRASHES: u64 = 2_000;
+/// From this seed on each run also has tasks that crash their workers, crashes of two workers at
+/// once and workers with temporarily reduced capacity.
+const FIRST_SEED_WITH_CRASHES: u64 = 2_000;
 
-/// Most faults of one run.
-const MOST_FAULTS: u32 = 14;
+/// Maximum number of faults drawn for one run.
+const MAX_FAULTS: u32 = 14;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A daemon dies and is started again.
+    /// A daemon is killed and restarted.
     Kill(usize),
-    /// The daemon that plans dies.
+    /// The planner's daemon is killed and restarted.
     KillPlanner,
-    /// All daemons die at once.
+    /// All daemons are killed at once and restarted.
     KillAll,
-    /// A daemon stands still and goes on.
+    /// A daemon is paused and resumed.
     Pause(usize),
-    /// The daemon that plans stands still and goes on.
+    /// The planner's daemon is paused and resumed.
     PausePlanner,
-    /// A planned stop and a new start.
+    /// A planned stop and a restart.
     Terminate(usize),
-    /// All daemons are stopped as planned and started, one shortly after the other.
-    Roll,
-    /// A signal that the settings have changed.
+    /// A rolling restart: all daemons are stopped as planned and restarted, shortly after one
+    /// another.
+    RollingRestart,
+    /// The signal to reload the settings.
     Hangup(usize),
     /// A new configuration.
     Configure,
-    /// The store harms calls.
+    /// Calls to the store fail in the given way.
     Store(StoreFault),
     /// The store drops its history.
     ForgetHistory,
-    /// The store takes the planner's key away.
+    /// The store deletes the planner's ownership key.
     RevokePlanner,
-    /// The connections of a daemon to the store are harmed.
-    StoreLink(usize, LinkFault),
-    /// A worker dies; another incarnation starts in its place.
+    /// The connections of a daemon to the store fail in the given way.
+    StoreConnection(usize, LinkFault),
+    /// A worker crashes; another incarnation is started in its place.
     CrashWorker(usize),
-    /// The connections to a worker are harmed; what it runs goes on.
-    WorkerLink(usize, LinkFault),
-    /// A worker announces that it leaves, and leaves.
+    /// The connections to a worker fail in the given way; its tasks continue to run.
+    WorkerConnection(usize, LinkFault),
+    /// A worker announces that it is leaving, and leaves.
     LeaveWorker(usize),
     /// The zone of half of the workers takes no new work for a time.
     CloseZone,
-    /// Two workers crash at once; other incarnations start in their places.
+    /// Two workers crash at once; other incarnations are started in their places.
     CrashTwoWorkers(usize),
     /// A worker's capacity is temporarily reduced to a quarter.
     ReduceCapacity(usize),
-    /// A worker does wrong.
+    /// A worker misbehaves in the given way.
     Worker(usize, WorkerFault),
 }
 
-/// One fault of a run.
+/// One scheduled fault of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Strike {
+pub struct ScheduledFault {
     pub at: Duration,
-    pub lasts: Duration,
+    pub duration: Duration,
     pub fault: Fault,
 }
 
 impl Fault {
-    /// Whether operators cause it: callers must notice nothing.
+    /// Whether operators cause the fault. Such faults must not be visible to callers.
     pub fn is_planned(self) -> bool {
         matches!(
             self,
-            Self::Terminate(_) | Self::Roll | Self::Hangup(_) | Self::Configure | Self::CloseZone
+            Self::Terminate(_)
+                | Self::RollingRestart
+                | Self::Hangup(_)
+                | Self::Configure
+                | Self::CloseZone
         )
     }
 }
 
 /// Whether the run of a seed has jobs with tasks that crash their workers.
 pub fn has_crashing_tasks(seed: u64) -> bool {
-    seed >= FIRST_WITH_CRASHES
+    seed >= FIRST_SEED_WITH_CRASHES
 }
 
-/// The faults of a seed. Every fourth run has planned maintenance alone, as only there callers may expect
-/// that every request is answered.
-pub fn schedule(seed: u64, daemons: usize, workers: usize) -> Vec<Strike> {
+/// The fault schedule of a seed. Every fourth run has planned maintenance only, as only there
+/// callers may expect that every request is answered.
+pub fn schedule(seed: u64, daemons: usize, workers: usize) -> Vec<ScheduledFault> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let is_planned = seed % 4 == 0;
-    let count = random.random_range(5..=MOST_FAULTS);
-    let mut strikes: Vec<Strike> = (0..count)
-        .map(|_| Strike {
-            at: Duration::from_millis(random.random_range(500..SPAN.as_millis() as u64)),
-            lasts: Duration::from_millis(random.random_range(200..3_500)),
-            fault: draw(&mut random, is_planned, daemons, workers),
+    let count = random.random_range(5..=MAX_FAULTS);
+    let mut scheduled_faults: Vec<ScheduledFault> = (0..count)
+        .map(|_| ScheduledFault {
+            at: Duration::from_millis(random.random_range(500..FAULT_PERIOD.as_millis() as u64)),
+            duration: Duration::from_millis(random.random_range(200..3_500)),
+            fault: draw_fault(&mut random, is_planned, daemons, workers),
         })
         .collect();
-    if seed >= FIRST_WITH_ZONES {
-        strikes.push(Strike {
+    if seed >= FIRST_SEED_WITH_CLOSED_ZONE {
+        scheduled_faults.push(ScheduledFault {
             at: Duration::from_millis(random.random_range(200..1_500)),
-            lasts: Duration::from_millis(random.random_range(6_500..9_000)),
+            duration: Duration::from_millis(random.random_range(6_500..9_000)),
             fault: Fault::CloseZone,
         });
     }
     if has_crashing_tasks(seed) {
-        strikes.extend((0..4).map(|nth| {
+        scheduled_faults.extend((0..4).map(|nth| {
             let worker = random.random_range(0..workers);
             let fault = if nth < 2 {
                 Fault::CrashTwoWorkers(worker)
             } else {
                 Fault::ReduceCapacity(worker)
             };
-            let at = Duration::from_millis(random.random_range(500..SPAN.as_millis() as u64));
-            Strike { at, lasts: Duration::from_millis(random.random_range(1_000..7_000)), fault }
+            let at =
+                Duration::from_millis(random.random_range(500..FAULT_PERIOD.as_millis() as u64));
+            ScheduledFault {
+                at,
+                duration: Duration::from_millis(random.random_range(1_000..7_000)),
+                fault,
+            }
         }));
     }
-    strikes.sort_by_key(|strike| strike.at);
-    strikes
+    scheduled_faults.sort_by_key(|scheduled| scheduled.at);
+    scheduled_faults
 }
 
-fn draw(random: &mut Pcg64Mcg, is_planned: bool, daemons: usize, workers: usize) -> Fault {
+fn draw_fault(random: &mut Pcg64Mcg, is_planned: bool, daemons: usize, workers: usize) -> Fault {
     let daemon = random.random_range(0..daemons);
     let worker = random.random_range(0..workers);
     let delay = Duration::from_millis(random.random_range(1_000..4_000));
-    let link = match random.random_range(0..4) {
+    let link_fault = match random.random_range(0..4) {
         0 => LinkFault::Silent,
         1 => LinkFault::BlocksReplies,
         2 => LinkFault::Reset,
@@ -137,7 +147,7 @@
     };
     if is_planned {
         return match random.random_range(0..6) {
-            0 => Fault::Roll,
+            0 => Fault::RollingRestart,
             1 => Fault::Hangup(daemon),
             2 | 3 => Fault::Configure,
             _ => Fault::Terminate(daemon),
@@ -150,7 +160,7 @@
         4 => Fault::Pause(daemon),
         5 | 6 => Fault::PausePlanner,
         7 => Fault::Terminate(daemon),
-        8 => Fault::Roll,
+        8 => Fault::RollingRestart,
         9 => Fault::Hangup(daemon),
         10 => Fault::Configure,
         11 => Fault::Store(StoreFault::Refuses),
@@ -160,9 +170,9 @@
         15 => Fault::Store(StoreFault::Late(delay)),
         16 => Fault::ForgetHistory,
         17 => Fault::RevokePlanner,
-        18 | 19 => Fault::StoreLink(daemon, link),
+        18 | 19 => Fault::StoreConnection(daemon, link_fault),
         20 => Fault::CrashWorker(worker),
-        21 => Fault::WorkerLink(worker, link),
+        21 => Fault::WorkerConnection(worker, link_fault),
         22 => Fault::LeaveWorker(worker),
         _ => Fault::Worker(
             worker,
--- a/crates/agatesilld/tests/fleet_soak/run.rs
+++ b/crates/agatesilld/tests/fleet_soak/run.rs
@@ -1,4 +1,4 @@
-//! One run: daemons, workers, callers and faults, and the judgement at its end.
+//! One run with daemons, workers, callers and faults, and the verification at its end.
 
 use std::collections::HashSet;
 use std::path::PathBuf;
@@ -9,9 +9,9 @@
 use hyper::Method;
 use tokio_util::sync::CancellationToken;
 
-use crate::callers::{Callers, Handing, Told};
+use crate::callers::{Callers, RequestOutcome, Submission};
 use crate::daemon::Daemon;
-use crate::faults::{self, Fault, SPAN, Strike};
+use crate::faults::{self, FAULT_PERIOD, Fault, ScheduledFault};
 use crate::support::proxy::{LinkFault, Proxy};
 use crate::support::settings;
 use crate::support::simulated_workers::{CPU_MILLI, SimulatedWorkers, WorkerFault};
@@ -20,24 +20,24 @@
 
 pub const DAEMONS: usize = 3;
 
-/// Their shares of a processor: one is smaller, so that the planner also moves for that.
-const SHARES: [f64; DAEMONS] = [0.5, 0.1, 0.5];
+/// Processor shares of the daemons. One is smaller, so that planning also moves for that reason.
+const CPU_SHARES: [f64; DAEMONS] = [0.5, 0.1, 0.5];
 
 pub const WORKERS: usize = 6;
 
-/// How long after an unplanned fault callers may still notice it.
-const AFTERMATH: Duration = Duration::from_secs(3);
+/// How long after an unplanned fault its effects may be visible to callers.
+const FAULT_EFFECT_DURATION: Duration = Duration::from_secs(3);
 
-/// How long everything may take to be in order once all is mended: a worker that was cut off is
-/// waited for until its longest lease of ten seconds has ended.
-const SETTLING: Duration = Duration::from_secs(30);
+/// Maximum time until everything is in order after the last fault. The planner waits for a worker
+/// that was cut off until its longest lease of ten seconds has expired.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Additional settling time of runs with tasks that crash their workers: such a task may be started five
-/// times, and each lost run is released only after the worker's lease of five seconds.
-const CRASH_SETTLING: Duration = Duration::from_secs(30);
+/// Additional settling time of runs with tasks that crash their workers: such a task may be started
+/// five times, and each lost run is released only after the worker's lease of five seconds.
+const CRASH_SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Silence after which a worker's entry leaves the store.
-const ENTRY_LIFE: Duration = Duration::from_millis(1_500);
+/// Time after the last renewal at which a worker's entry is removed from the store.
+const ENTRY_TTL: Duration = Duration::from_millis(1_500);
 
 /// Delay after which a worker that was crashed by a task is restarted.
 const RESTART_DELAY: Duration = Duration::from_millis(700);
@@ -45,30 +45,32 @@
 /// Interval between checks for workers that were crashed by tasks.
 const RESTART_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Jobs handed in a second.
+/// Jobs submitted per second.
 const JOBS_PER_S: u32 = 8;
 
-/// What was amiss and when.
-pub struct History {
+/// Times of the unplanned faults of a run.
+pub struct FaultHistory {
     unplanned: Mutex<Vec<(Instant, Option<Instant>)>>,
-    bad_workers: AtomicBool,
-    over: CancellationToken,
+    failing_workers: AtomicBool,
+    finished: CancellationToken,
 }
 
-impl History {
-    /// Whether nothing unplanned was amiss from shortly before `since` until now.
-    pub fn was_calm(&self, since: Instant) -> bool {
-        let is_near = |ended: &Option<Instant>| ended.is_none_or(|ended| ended + AFTERMATH > since);
-        !self.unplanned.lock().unwrap().iter().any(|(_, ended)| is_near(ended))
+impl FaultHistory {
+    /// Whether no unplanned fault was active from shortly before `since` until now.
+    pub fn was_fault_free(&self, since: Instant) -> bool {
+        let overlaps = |ended: &Option<Instant>| {
+            ended.is_none_or(|ended| ended + FAULT_EFFECT_DURATION > since)
+        };
+        !self.unplanned.lock().unwrap().iter().any(|(_, ended)| overlaps(ended))
     }
 
-    /// Whether workers failed what they started.
-    pub fn has_bad_workers(&self) -> bool {
-        self.bad_workers.load(Ordering::Relaxed)
+    /// Whether there were workers that fail all tasks.
+    pub fn has_failing_workers(&self) -> bool {
+        self.failing_workers.load(Ordering::Relaxed)
     }
 
-    pub fn is_over(&self) -> bool {
-        self.over.is_cancelled()
+    pub fn is_finished(&self) -> bool {
+        self.finished.is_cancelled()
     }
 
     fn begin(&self) -> usize {
@@ -82,28 +84,28 @@
     }
 }
 
-/// A worker's place: the lives that follow one another behind one proxy each.
-struct Seat {
+/// A slot for consecutive incarnations of a worker, each behind its own proxy.
+struct WorkerSlot {
     name: String,
-    lives: AtomicU64,
-    present: Mutex<(Arc<FakeWorker>, Arc<Proxy>)>,
+    incarnations: AtomicU64,
+    current: Mutex<(Arc<FakeWorker>, Arc<Proxy>)>,
 }
 
-pub struct Run {
+pub struct SoakRun {
     pub seed: u64,
     pub folder: PathBuf,
     pub daemons: Vec<Arc<Daemon>>,
     pub store: Arc<FakeStore>,
-    pub floor: Arc<SimulatedWorkers>,
+    pub simulated_workers: Arc<SimulatedWorkers>,
     pub callers: Arc<Callers>,
-    pub history: Arc<History>,
-    seats: Vec<Seat>,
+    pub history: Arc<FaultHistory>,
+    slots: Vec<WorkerSlot>,
     version: AtomicU64,
     stop: CancellationToken,
-    troubles: Mutex<Vec<String>>,
+    problems: Mutex<Vec<String>>,
 }
 
-impl Run {
+impl SoakRun {
     /// Starts everything and waits until all daemons are ready.
     pub async fn start(seed: u64) -> Arc<Self> {
         let stop = CancellationToken::new();
@@ -111,97 +113,99 @@
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).unwrap();
         let (store, store_addr) = FakeStore::start(&stop).await;
-        let floor = Arc::new(SimulatedWorkers::new(true));
+        let simulated_workers = Arc::new(SimulatedWorkers::new(true));
         if faults::has_crashing_tasks(seed) {
-            floor.allow_overcommit();
+            simulated_workers.allow_overcommit();
         }
-        let history = Arc::new(History {
+        let history = Arc::new(FaultHistory {
             unplanned: Mutex::default(),
-            bad_workers: AtomicBool::new(false),
-            over: CancellationToken::new(),
+            failing_workers: AtomicBool::new(false),
+            finished: CancellationToken::new(),
         });
         let mut daemons = Vec::new();
-        for (at, share) in SHARES.into_iter().enumerate() {
-            let name = format!("entry-{at}");
+        for (index, share) in CPU_SHARES.into_iter().enumerate() {
+            let name = format!("entry-{index}");
             let daemon = Daemon::prepare(&folder, &name, store_addr, share, &stop).await;
             daemons.push(Arc::new(daemon));
         }
-        let mut seats = Vec::new();
-        for at in 0..WORKERS {
-            seats.push(Seat::take(&format!("w{at}"), &floor, &store, &stop).await);
+        let mut slots = Vec::new();
+        for index in 0..WORKERS {
+            slots.push(
+                WorkerSlot::start(&format!("w{index}"), &simulated_workers, &store, &stop).await,
+            );
         }
-        let callers = Arc::new(Callers::new(&daemons, floor.clone(), history.clone()));
+        let callers = Arc::new(Callers::new(&daemons, simulated_workers.clone(), history.clone()));
         let run = Arc::new(Self {
             seed,
             folder,
             daemons,
             store,
-            floor,
+            simulated_workers,
             callers,
             history,
-            seats,
+            slots,
             version: AtomicU64::new(1),
             stop,
-            troubles: Mutex::default(),
+            problems: Mutex::default(),
         });
         run.configure();
         run.daemons.iter().for_each(|daemon| daemon.start());
-        run.until_ready().await;
-        tokio::spawn(run.callers.clone().balance());
+        run.wait_until_ready().await;
+        tokio::spawn(run.callers.clone().check_readiness());
         tokio::spawn(run.clone().restart_crashed_workers());
         run
     }
 
-    /// Restarts workers that were crashed by tasks, until the run is over. The entry of a crashed incarnation
-    /// stays listed beside its successor's until [`ENTRY_LIFE`] has passed.
+    /// Restarts workers that were crashed by tasks, until the run is over. The entry of a crashed
+    /// incarnation stays listed next to that of its successor until [`ENTRY_TTL`] has passed.
     async fn restart_crashed_workers(self: Arc<Self>) {
         let mut restarted = HashSet::new();
-        while !self.history.is_over() {
+        while !self.history.is_finished() {
             tokio::time::sleep(RESTART_CHECK_INTERVAL).await;
-            for at in 0..self.seats.len() {
-                let crashed = self.seats[at].worker();
-                let is_crashed = self.floor.was_crashed_by_task(crashed.incarnation);
+            for index in 0..self.slots.len() {
+                let crashed = self.slots[index].worker();
+                let is_crashed = self.simulated_workers.was_crashed_by_task(crashed.incarnation);
                 if is_crashed && restarted.insert(crashed.incarnation) {
-                    tokio::spawn(self.clone().restart_worker(at, crashed));
+                    tokio::spawn(self.clone().restart_worker(index, crashed));
                 }
             }
         }
     }
 
-    async fn restart_worker(self: Arc<Self>, seat: usize, crashed: Arc<FakeWorker>) {
+    async fn restart_worker(self: Arc<Self>, slot: usize, crashed: Arc<FakeWorker>) {
         tokio::time::sleep(RESTART_DELAY).await;
-        self.seats[seat].reseat(&crashed, &self.floor, &self.store, &self.stop).await;
-        tokio::time::sleep(ENTRY_LIFE).await;
+        self.slots[slot].replace(&crashed, &self.simulated_workers, &self.store, &self.stop).await;
+        tokio::time::sleep(ENTRY_TTL).await;
         self.store.remove(&format!("servers/{}", crashed.id));
     }
 
     /// Crashes a worker and restarts it once its entry has been removed.
-    async fn crash_worker(&self, seat: usize) {
-        let seat = &self.seats[seat];
-        let worker = seat.worker();
+    async fn crash_worker(&self, slot: usize) {
+        let slot = &self.slots[slot];
+        let worker = slot.worker();
         worker.crash();
-        tokio::time::sleep(ENTRY_LIFE).await;
+        tokio::time::sleep(ENTRY_TTL).await;
         self.store.remove(&format!("servers/{}", worker.id));
-        seat.reseat(&worker, &self.floor, &self.store, &self.stop).await;
+        slot.replace(&worker, &self.simulated_workers, &self.store, &self.stop).await;
     }
 
-    async fn until_ready(&self) {
+    async fn wait_until_ready(&self) {
         for daemon in &self.daemons {
-            let until = Instant::now() + SETTLING;
+            let until = Instant::now() + SETTLE_TIMEOUT;
             while !daemon.is_ready().await {
                 if Instant::now() > until {
-                    return self.trouble(format!("{} is not ready", daemon.name));
+                    return self.add_problem(format!("{} is not ready", daemon.name));
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 
-    fn trouble(&self, what: String) {
-        self.troubles.lock().unwrap().push(what);
+    fn add_problem(&self, what: String) {
+        self.problems.lock().unwrap().push(what);
     }
 
-    /// Puts the next configuration into the store: the two queues and one that no job uses.
+    /// Writes the next configuration to the store: the two queues and one that no job uses.
     fn configure(&self) {
         let version = self.version.fetch_add(3, Ordering::Relaxed);
         let extra = format!("extra{version}");
@@ -210,7 +214,7 @@
         self.store.put("op/config", &settings::config(version, &queues));
     }
 
-    /// Hands jobs in until `span` has passed.
+    /// Submits jobs until `span` has passed.
     pub async fn traffic(self: &Arc<Self>, span: Duration) {
         let count = (span.as_millis() as u32 * JOBS_PER_S) / 1_000;
         let mut ticks = tokio::time::interval(Duration::from_secs(1) / JOBS_PER_S);
@@ -222,43 +226,43 @@
         tokio::spawn(async move { while jobs.join_next().await.is_some() {} });
     }
 
-    /// Who plans, as the store has it.
+    /// The daemon that owns the planner's range according to the store.
     pub fn planner(&self) -> Option<Arc<Daemon>> {
         let owner = self.store.text("own/planner")?;
         self.daemons.iter().find(|daemon| owner.contains(&daemon.name)).cloned()
     }
 
-    /// Does one fault from its beginning to its end.
-    pub async fn strike(self: Arc<Self>, strike: Strike) {
-        tokio::time::sleep(strike.at).await;
-        let entry = (!strike.fault.is_planned()).then(|| self.history.begin());
-        self.inflict(strike).await;
+    /// Injects one fault, from its start to its end.
+    pub async fn inject(self: Arc<Self>, scheduled: ScheduledFault) {
+        tokio::time::sleep(scheduled.at).await;
+        let entry = (!scheduled.fault.is_planned()).then(|| self.history.begin());
+        self.apply(scheduled).await;
         if let Some(entry) = entry {
             self.history.end(entry);
         }
     }
 
-    async fn inflict(&self, Strike { lasts, fault, .. }: Strike) {
+    async fn apply(&self, ScheduledFault { duration, fault, .. }: ScheduledFault) {
         match fault {
-            Fault::Kill(daemon) => restart(&self.daemons[daemon], lasts).await,
+            Fault::Kill(daemon) => restart(&self.daemons[daemon], duration).await,
             Fault::KillPlanner => {
                 if let Some(planner) = self.planner() {
-                    restart(&planner, lasts).await;
+                    restart(&planner, duration).await;
                 }
             }
             Fault::KillAll => {
                 self.daemons.iter().for_each(|daemon| daemon.kill());
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.daemons.iter().for_each(|daemon| daemon.start());
             }
-            Fault::Pause(daemon) => pause(&self.daemons[daemon], lasts).await,
+            Fault::Pause(daemon) => pause(&self.daemons[daemon], duration).await,
             Fault::PausePlanner => {
                 if let Some(planner) = self.planner() {
-                    pause(&planner, lasts).await;
+                    pause(&planner, duration).await;
                 }
             }
             Fault::Terminate(daemon) => self.terminate(&self.daemons[daemon]).await,
-            Fault::Roll => {
+            Fault::RollingRestart => {
                 for daemon in &self.daemons {
                     self.terminate(daemon).await;
                 }
@@ -267,235 +271,257 @@
             Fault::Configure => self.configure(),
             Fault::Store(fault) => {
                 self.store.set_fault(fault);
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.store.set_fault(StoreFault::None);
             }
             Fault::ForgetHistory => self.store.compact_history(),
             Fault::CloseZone => {
                 self.store.put("op/evacuate/b", "{}");
-                self.floor.set_closed_zone(Some("b"));
-                tokio::time::sleep(lasts).await;
-                self.floor.set_closed_zone(None);
+                self.simulated_workers.set_closed_zone(Some("b"));
+                tokio::time::sleep(duration).await;
+                self.simulated_workers.set_closed_zone(None);
                 self.store.remove("op/evacuate/b");
             }
             Fault::RevokePlanner => self.store.remove("own/planner"),
-            Fault::StoreLink(daemon, fault) => {
-                let link = &self.daemons[daemon].store;
-                link.set(fault);
-                tokio::time::sleep(lasts).await;
-                link.set(LinkFault::None);
+            Fault::StoreConnection(daemon, fault) => {
+                let proxy = &self.daemons[daemon].store;
+                proxy.set(fault);
+                tokio::time::sleep(duration).await;
+                proxy.set(LinkFault::None);
             }
-            _ => self.inflict_on_worker(fault, lasts).await,
+            _ => self.apply_to_worker(fault, duration).await,
         }
     }
 
-    async fn inflict_on_worker(&self, fault: Fault, lasts: Duration) {
+    async fn apply_to_worker(&self, fault: Fault, duration: Duration) {
         match fault {
-            Fault::CrashWorker(seat) => self.crash_worker(seat).await,
-            Fault::CrashTwoWorkers(seat) => {
-                let next = (seat + 1) % self.seats.len();
-                tokio::join!(self.crash_worker(seat), self.crash_worker(next));
+            Fault::CrashWorker(slot) => self.crash_worker(slot).await,
+            Fault::CrashTwoWorkers(slot) => {
+                let next = (slot + 1) % self.slots.len();
+                tokio::join!(self.crash_worker(slot), self.crash_worker(next));
             }
-            Fault::ReduceCapacity(seat) => {
-                let (worker, link) = self.seats[seat].present.lock().unwrap().clone();
-                self.floor.set_capacity(worker.incarnation, CPU_MILLI / 4);
-                worker.register(&self.store, link.addr, "ready");
-                tokio::time::sleep(lasts).await;
-                self.floor.set_capacity(worker.incarnation, CPU_MILLI);
-                if self.seats[seat].worker().incarnation == worker.incarnation {
-                    worker.register(&self.store, link.addr, "ready");
+            Fault::ReduceCapacity(slot) => {
+                let (worker, proxy) = self.slots[slot].current.lock().unwrap().clone();
+                self.simulated_workers.set_capacity(worker.incarnation, CPU_MILLI / 4);
+                worker.register(&self.store, proxy.addr, "ready");
+                tokio::time::sleep(duration).await;
+                self.simulated_workers.set_capacity(worker.incarnation, CPU_MILLI);
+                if self.slots[slot].worker().incarnation == worker.incarnation {
+                    worker.register(&self.store, proxy.addr, "ready");
                 }
             }
-            Fault::WorkerLink(seat, fault) => {
-                let (worker, link) = self.seats[seat].present.lock().unwrap().clone();
-                link.set(fault);
-                tokio::time::sleep(lasts).await;
-                link.set(LinkFault::None);
-                worker.register(&self.store, link.addr, "ready");
+            Fault::WorkerConnection(slot, fault) => {
+                let (worker, proxy) = self.slots[slot].current.lock().unwrap().clone();
+                proxy.set(fault);
+                tokio::time::sleep(duration).await;
+                proxy.set(LinkFault::None);
+                worker.register(&self.store, proxy.addr, "ready");
             }
-            Fault::LeaveWorker(seat) => {
-                let seat = &self.seats[seat];
-                let (worker, link) = seat.present.lock().unwrap().clone();
-                worker.register(&self.store, link.addr, "draining");
-                tokio::time::sleep(lasts + ENTRY_LIFE).await;
+            Fault::LeaveWorker(slot) => {
+                let slot = &self.slots[slot];
+                let (worker, proxy) = slot.current.lock().unwrap().clone();
+                worker.register(&self.store, proxy.addr, "draining");
+                tokio::time::sleep(duration + ENTRY_TTL).await;
                 worker.crash();
                 self.store.remove(&format!("servers/{}", worker.id));
-                seat.reseat(&worker, &self.floor, &self.store, &self.stop).await;
+                slot.replace(&worker, &self.simulated_workers, &self.store, &self.stop).await;
             }
-            Fault::Worker(seat, fault) => {
-                let incarnation = self.seats[seat].worker().incarnation;
+            Fault::Worker(slot, fault) => {
+                let incarnation = self.slots[slot].worker().incarnation;
                 if fault == WorkerFault::FailsAll {
-                    self.history.bad_workers.store(true, Ordering::Relaxed);
+                    self.history.failing_workers.store(true, Ordering::Relaxed);
                 }
-                self.floor.set_fault(incarnation, fault);
-                tokio::time::sleep(lasts).await;
-                self.floor.set_fault(incarnation, WorkerFault::None);
+                self.simulated_workers.set_fault(incarnation, fault);
+                tokio::time::sleep(duration).await;
+                self.simulated_workers.set_fault(incarnation, WorkerFault::None);
             }
-            other => self.trouble(format!("{other:?} is no fault of a worker")),
+            other => self.add_problem(format!("{other:?} is not a fault of a worker")),
         }
     }
 
     async fn terminate(&self, daemon: &Daemon) {
         let since = Instant::now();
         let is_ended = daemon.terminate().await;
-        if !is_ended && self.history.was_calm(since) {
-            self.trouble(format!("{} did not end in time", daemon.name));
+        if !is_ended && self.history.was_fault_free(since) {
+            self.add_problem(format!("{} did not stop in time", daemon.name));
         }
         daemon.start();
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
 
-    /// Waits until every promise is kept, and says which are not.
+    /// Waits until all accepted jobs are in the expected state, and returns all violations.
     pub async fn settle(self: &Arc<Self>) -> Vec<String> {
         self.daemons.iter().for_each(|daemon| daemon.signal("CONT"));
         for daemon in &self.daemons {
-            if daemon.is_over() {
+            if daemon.is_stopped() {
                 daemon.start();
             }
         }
-        self.until_ready().await;
+        self.wait_until_ready().await;
         let has_crashes = faults::has_crashing_tasks(self.seed);
-        let extra = if has_crashes { CRASH_SETTLING } else { Duration::ZERO };
-        let until = Instant::now() + SETTLING + extra;
-        let mut open = self.open().await;
-        while !open.is_empty() && Instant::now() < until {
+        let extra = if has_crashes { CRASH_SETTLE_TIMEOUT } else { Duration::ZERO };
+        let until = Instant::now() + SETTLE_TIMEOUT + extra;
+        let mut outstanding = self.outstanding().await;
+        while !outstanding.is_empty() && Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(200)).await;
-            open = self.open().await;
+            outstanding = self.outstanding().await;
         }
-        self.history.over.cancel();
-        let mut wrong = open;
-        wrong.extend(self.floor.violations());
-        wrong.extend(self.callers.violations.lock().unwrap().clone());
-        wrong.extend(self.troubles.lock().unwrap().clone());
-        wrong.extend(self.daemons.iter().flat_map(|daemon| daemon.troubles()));
-        wrong.extend(self.started_though_refused());
-        wrong.extend(self.missing_crashes());
-        wrong
+        self.history.finished.cancel();
+        let mut violations = outstanding;
+        violations.extend(self.simulated_workers.violations());
+        violations.extend(self.callers.violations.lock().unwrap().clone());
+        violations.extend(self.problems.lock().unwrap().clone());
+        violations.extend(self.daemons.iter().flat_map(|daemon| daemon.problems()));
+        violations.extend(self.starts_of_refused_jobs());
+        violations.extend(self.missing_crashes());
+        violations
     }
 
-    /// What is still to happen: accepted jobs end, lasting tasks run once, cancelled ones not.
-    async fn open(&self) -> Vec<String> {
-        let known = self.callers.known.lock().unwrap().clone();
-        let mut open = Vec::new();
-        for (at, (id, job)) in known.iter().enumerate() {
-            if !matches!(job.handing, Handing::Accepted(_)) {
+    /// Outstanding work: accepted jobs must end, long-running tasks must run exactly once, and
+    /// tasks of cancelled jobs must not run.
+    async fn outstanding(&self) -> Vec<String> {
+        let known_jobs = self.callers.known_jobs.lock().unwrap().clone();
+        let mut outstanding = Vec::new();
+        for (index, (id, job)) in known_jobs.iter().enumerate() {
+            if !matches!(job.submission, Submission::Accepted(_)) {
                 continue;
             }
             let is_lasting = job.steps.iter().any(|step| step.work_ms == 0);
             if job.is_cancelled {
-                let running = self.floor.running_tasks(id);
-                open.extend(running.iter().map(|task| format!("{task} runs on, cancelled")));
+                let running = self.simulated_workers.running_tasks(id);
+                outstanding.extend(
+                    running
+                        .iter()
+                        .map(|task| format!("{task} still runs although its job is cancelled")),
+                );
             } else if is_lasting {
                 let tasks = (0..job.steps[0].count).map(|index| format!("{id}.0.0.{index}"));
-                let missing = tasks.filter(|task| self.floor.running(task) != 1);
-                open.extend(missing.map(|task| format!("{task} does not run once")));
-            } else if !matches!(job.shown.as_str(), "completed" | "failed") {
-                let daemon = at % self.daemons.len();
-                let told = self.callers.ask(daemon, Method::GET, job.queue, id, "").await;
-                let is_final = match &told {
-                    Told::Answer(200, body) => self.callers.shown(id, body),
+                let missing = tasks.filter(|task| self.simulated_workers.running(task) != 1);
+                outstanding.extend(missing.map(|task| format!("{task} does not run exactly once")));
+            } else if !matches!(job.last_state.as_str(), "completed" | "failed") {
+                let daemon = index % self.daemons.len();
+                let outcome =
+                    self.callers.send_request(daemon, Method::GET, job.queue, id, "").await;
+                let is_final = match &outcome {
+                    RequestOutcome::Answer(200, body) => self.callers.record_state(id, body),
                     _ => false,
                 };
                 if !is_final {
-                    open.push(format!("{id} is not done: {told:?}"));
+                    outstanding.push(format!("{id} is not finished: {outcome:?}"));
                 }
             }
         }
-        open
+        outstanding
     }
 
-    /// Guards against a run whose crashing tasks never crashed a worker and that thus tests nothing of them.
+    /// Guards against a run whose crashing tasks never crashed a worker, and which thus does not
+    /// test them.
     fn missing_crashes(&self) -> Option<String> {
         let is_missing =
-            faults::has_crashing_tasks(self.seed) && self.floor.crashes_by_tasks() == 0;
-        is_missing.then(|| "no task has crashed its worker".to_owned())
+            faults::has_crashing_tasks(self.seed) && self.simulated_workers.crashes_by_tasks() == 0;
+        is_missing.then(|| "no task crashed its worker".to_owned())
     }
 
-    fn started_though_refused(&self) -> Vec<String> {
-        let known = self.callers.known.lock().unwrap();
+    fn starts_of_refused_jobs(&self) -> Vec<String> {
+        let known_jobs = self.callers.known_jobs.lock().unwrap();
         let is_refused = |task: &str| {
             let id = task.split('.').next().unwrap_or_default();
-            known.get(id).is_some_and(|job| job.handing == Handing::Refused)
+            known_jobs.get(id).is_some_and(|job| job.submission == Submission::Refused)
         };
-        let starts = self.floor.starts();
-        let wrong = starts.iter().filter(|(_, task)| is_refused(task));
-        wrong.map(|(_, task)| format!("{task} started though its job was refused")).collect()
+        let starts = self.simulated_workers.starts();
+        let violations = starts.iter().filter(|(_, task)| is_refused(task));
+        violations.map(|(_, task)| format!("{task} started although its job was refused")).collect()
     }
 }
 
-impl Drop for Run {
+impl Drop for SoakRun {
     fn drop(&mut self) {
         self.stop.cancel();
     }
 }
 
-impl Seat {
-    async fn take(
+impl WorkerSlot {
+    async fn start(
         name: &str,
-        floor: &Arc<SimulatedWorkers>,
+        simulated_workers: &Arc<SimulatedWorkers>,
         store: &FakeStore,
         stop: &CancellationToken,
     ) -> Self {
-        let present = new_life(&format!("{name}-1"), floor, store, stop).await;
-        Self { name: name.to_owned(), lives: AtomicU64::new(1), present: Mutex::new(present) }
+        let current = start_incarnation(&format!("{name}-1"), simulated_workers, store, stop).await;
+        Self {
+            name: name.to_owned(),
+            incarnations: AtomicU64::new(1),
+            current: Mutex::new(current),
+        }
     }
 
     /// Replaces an incarnation with a new one, unless it has already been replaced.
-    async fn reseat(
+    async fn replace(
         &self,
         replaced: &FakeWorker,
-        floor: &Arc<SimulatedWorkers>,
+        simulated_workers: &Arc<SimulatedWorkers>,
         store: &FakeStore,
         stop: &CancellationToken,
     ) {
         if self.worker().incarnation != replaced.incarnation {
             return;
         }
-        let incarnation = self.lives.fetch_add(1, Ordering::Relaxed) + 1;
-        let next = new_life(&format!("{}-{incarnation}", self.name), floor, store, stop).await;
-        *self.present.lock().unwrap() = next;
+        let incarnation = self.incarnations.fetch_add(1, Ordering::Relaxed) + 1;
+        let next = start_incarnation(
+            &format!("{}-{incarnation}", self.name),
+            simulated_workers,
+            store,
+            stop,
+        )
+        .await;
+        *self.current.lock().unwrap() = next;
     }
 
     fn worker(&self) -> Arc<FakeWorker> {
-        self.present.lock().unwrap().0.clone()
+        self.current.lock().unwrap().0.clone()
     }
 }
 
-async fn new_life(
+async fn start_incarnation(
     id: &str,
-    floor: &Arc<SimulatedWorkers>,
+    simulated_workers: &Arc<SimulatedWorkers>,
     store: &FakeStore,
     stop: &CancellationToken,
 ) -> (Arc<FakeWorker>, Arc<Proxy>) {
-    let worker = FakeWorker::serve(id, floor.clone(), stop).await;
-    let link = Arc::new(Proxy::start(worker.addr, stop).await);
-    worker.register(store, link.addr, "ready");
-    (worker, link)
+    let worker = FakeWorker::serve(id, simulated_workers.clone(), stop).await;
+    let proxy = Arc::new(Proxy::start(worker.addr, stop).await);
+    worker.register(store, proxy.addr, "ready");
+    (worker, proxy)
 }
 
-async fn restart(daemon: &Daemon, lasts: Duration) {
+async fn restart(daemon: &Daemon, duration: Duration) {
     daemon.kill();
-    tokio::time::sleep(lasts / 2).await;
+    tokio::time::sleep(duration / 2).await;
     daemon.start();
 }
 
-async fn pause(daemon: &Daemon, lasts: Duration) {
+async fn pause(daemon: &Daemon, duration: Duration) {
     daemon.signal("STOP");
-    tokio::time::sleep(lasts).await;
+    tokio::time::sleep(duration).await;
     daemon.signal("CONT");
 }
 
-/// Plays a schedule and returns what went wrong.
-pub async fn play(seed: u64, strikes: &[Strike]) -> (Vec<String>, PathBuf) {
-    let run = Run::start(seed).await;
-    let struck: Vec<_> =
-        strikes.iter().map(|strike| tokio::spawn(run.clone().strike(*strike))).collect();
-    run.traffic(SPAN + Duration::from_secs(1)).await;
-    for strike in struck {
-        if let Err(error) = strike.await {
-            run.trouble(format!("a fault was not done: {error}"));
+/// Runs a schedule and returns all violations and the folder with the logs.
+pub async fn run_schedule(
+    seed: u64,
+    scheduled_faults: &[ScheduledFault],
+) -> (Vec<String>, PathBuf) {
+    let run = SoakRun::start(seed).await;
+    let injections: Vec<_> = scheduled_faults
+        .iter()
+        .map(|scheduled| tokio::spawn(run.clone().inject(*scheduled)))
+        .collect();
+    run.traffic(FAULT_PERIOD + Duration::from_secs(1)).await;
+    for injection in injections {
+        if let Err(error) = injection.await {
+            run.add_problem(format!("a fault was not injected: {error}"));
         }
     }
-    let wrong = run.settle().await;
-    (wrong, run.folder.clone())
+    let violations = run.settle().await;
+    (violations, run.folder.clone())
 }
