--- a/crates/agatesilld/tests/fleet_soak/callers.rs
+++ b/crates/agatesilld/tests/fleet_soak/callers.rs
@@ -91,7 +91,7 @@
     ) -> Self {
         let open_connections = |daemon: &Arc<Daemon>| {
             (0..CONNECTIONS_PER_DAEMON)
-                .map(|_| AsyncMutex::new(Connection::new(daemon.places.entry)))
+                .map(|_| AsyncMutex::new(Connection::new(daemon.listen_addrs.entry)))
                 .collect()
         };
         Self {
--- a/crates/agatesilld/tests/fleet_soak/daemon.rs
+++ b/crates/agatesilld/tests/fleet_soak/daemon.rs
@@ -27,7 +27,7 @@
 
 pub struct Daemon {
     pub name: String,
-    pub places: ListenAddrs,
+    pub listen_addrs: ListenAddrs,
     /// Proxy between this daemon and the store.
     pub store: Proxy,
     folder: PathBuf,
@@ -48,14 +48,14 @@
         cpu_share: f64,
         stop: &CancellationToken,
     ) -> Self {
-        let places = ListenAddrs::allocate().await;
+        let listen_addrs = ListenAddrs::allocate().await;
         let store = Proxy::start(store, stop).await;
         let metrics_port = crate::support::free_addr().await.port();
-        let text = settings::daemon(name, &places, store.addr, cpu_share);
+        let text = settings::daemon(name, &listen_addrs, store.addr, cpu_share);
         std::fs::write(folder.join(format!("{name}.yaml")), text).unwrap();
         Self {
             name: name.to_owned(),
-            places,
+            listen_addrs,
             store,
             folder: folder.to_owned(),
             metrics_port,
@@ -141,7 +141,7 @@
     }
 
     pub async fn is_ready(&self) -> bool {
-        let asked = call(self.places.ready, Method::GET, "/agatesill/readyz", "").await;
+        let asked = call(self.listen_addrs.ready, Method::GET, "/agatesill/readyz", "").await;
         asked.is_some_and(|(status, ..)| status == 200)
     }
 
--- a/crates/agatesilld/tests/fleet_soak/faults.rs
+++ b/crates/agatesilld/tests/fleet_soak/faults.rs
@@ -46,7 +46,7 @@
     /// Calls to the store fail in the given way.
     Store(StoreFault),
     /// The store drops its history.
-    ForgetHistory,
+    CompactHistory,
     /// The store deletes the planner's ownership key.
     RevokePlanner,
     /// The connections of a daemon to the store fail in the given way.
@@ -168,7 +168,7 @@
         13 => Fault::Store(StoreFault::Slow(delay / 10)),
         14 => Fault::Store(StoreFault::LosesAnswers),
         15 => Fault::Store(StoreFault::Late(delay)),
-        16 => Fault::ForgetHistory,
+        16 => Fault::CompactHistory,
         17 => Fault::RevokePlanner,
         18 | 19 => Fault::StoreConnection(daemon, link_fault),
         20 => Fault::CrashWorker(worker),
--- a/crates/agatesilld/tests/fleet_soak/run.rs
+++ b/crates/agatesilld/tests/fleet_soak/run.rs
@@ -274,7 +274,7 @@
                 tokio::time::sleep(duration).await;
                 self.store.set_fault(StoreFault::None);
             }
-            Fault::ForgetHistory => self.store.compact_history(),
+            Fault::CompactHistory => self.store.compact_history(),
             Fault::CloseZone => {
                 self.store.put("op/evacuate/b", "{}");
                 self.simulated_workers.set_closed_zone(Some("b"));
