--- a/crates/agatesill/src/timeline.rs
+++ b/crates/agatesill/src/timeline.rs
@@ -40,7 +40,7 @@
 /// wrote it.
 ///
 /// The timeline holds the lines of the job itself and, between the first and the last of these, the
-/// lines of the workers it was placed on and the [`DAEMON_EVENTS`], ordered by time. Lines that are
+/// lines of the workers it was placed on and the `DAEMON_EVENTS`, ordered by time. Lines that are
 /// not JSON are skipped. The clocks of machines may differ, and with them the order of lines from
 /// different daemons.
 pub fn timeline<'a>(lines: impl Iterator<Item = (&'a str, &'a str)>, id: &str) -> Vec<String> {
