--- a/crates/agatesill_coord/src/config/capacity.rs
+++ b/crates/agatesill_coord/src/config/capacity.rs
@@ -31,7 +31,7 @@
             let terms: Vec<String> =
                 quotas.iter().map(|(name, quota)| format!("{name} {quota}")).collect();
             lines.push(format!(
-                "quotas in cpu_milli: {} = {total}, the workers have {}, {} too many",
+                "quotas in cpu_milli: {} = {total}, the floor holds {}, {} too many",
                 terms.join(" + "),
                 self.cpu_milli,
                 total - self.cpu_milli
--- a/crates/agatesill_policy/src/batch/policy/estimates.rs
+++ b/crates/agatesill_policy/src/batch/policy/estimates.rs
@@ -1,6 +1,6 @@
 //! Sizes and run times learned for each job class.
 //!
-//! At month end, declared run times are off by a factor of 0.3 to 5 and declared sizes by up to
+//! Declared run times of batch jobs are off by a factor of 0.3 to 5 and declared sizes by up to
 //! half, in the same way for all jobs of a class. Without estimates, tasks would be ordered by
 //! latest starts that are wrong by hours, and capacity would stay unused in oversized reservations.
 //! docs/BATCH.md has the results of the `month-end` benchmark with and without them.
--- a/crates/agatesill_policy/src/batch/policy/mod.rs
+++ b/crates/agatesill_policy/src/batch/policy/mod.rs
@@ -37,7 +37,7 @@
 use protection::MitigationStates;
 use queue::{PriorityTier, Queue};
 use token_bucket::TokenBucket;
-use workers::WorkerIndex;
+use workers::WorkerDirectory;
 
 /// A live attempt, with the data that the ledger does not hold.
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
 pub struct BatchPolicy {
     config: BatchConfig,
     queue: Queue,
-    workers: WorkerIndex,
+    workers: WorkerDirectory,
     estimates: ClassEstimates,
     interference: InterferenceModel,
     failures: FailureTracker,
--- a/crates/agatesill_policy/src/batch/policy/placement.rs
+++ b/crates/agatesill_policy/src/batch/policy/placement.rs
@@ -7,7 +7,7 @@
 
 use super::super::{Resources, WorkerId};
 use super::interference::InterferenceModel;
-use super::workers::{WorkerIndex, WorkerLoad};
+use super::workers::{WorkerDirectory, WorkerLoad};
 
 /// Number of workers considered from each end of the order by free capacity. Sixteen from each end
 /// find a worker whose score is within a few percent of a full search, at a cost that does not
@@ -78,7 +78,7 @@
 /// Chooses the worker with the lowest score among a bounded number of candidates.
 pub fn choose_worker(
     request: &PlacementRequest<'_>,
-    workers: &WorkerIndex,
+    workers: &WorkerDirectory,
     interference: &InterferenceModel,
     may_explore: &dyn Fn(WorkerId) -> bool,
     scratch: &mut Vec<WorkerId>,
@@ -114,7 +114,7 @@
     request: &PlacementRequest<'_>,
     id: WorkerId,
     load: &WorkerLoad,
-    workers: &WorkerIndex,
+    workers: &WorkerDirectory,
     interference: &InterferenceModel,
 ) -> Option<(f64, bool)> {
     let mut score = 0.0;
--- a/crates/agatesill_policy/src/batch/policy/workers.rs
+++ b/crates/agatesill_policy/src/batch/policy/workers.rs
@@ -1,4 +1,4 @@
-//! Index of the workers by free capacity, with their load and newest measurements.
+//! Directory of the workers by free capacity, with their load and newest measurements.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,7 +43,7 @@
 
 /// All workers. The schedulable ones are ordered by free CPU and by free memory.
 #[derive(Debug, Default)]
-pub struct WorkerIndex {
+pub struct WorkerDirectory {
     loads: BTreeMap<WorkerId, WorkerLoad>,
     by_cpu: BTreeSet<(u64, WorkerId)>,
     by_memory: BTreeSet<(u64, WorkerId)>,
@@ -71,7 +71,7 @@
     }
 }
 
-impl WorkerIndex {
+impl WorkerDirectory {
     /// Updates one worker from the ledger.
     pub fn sync(&mut self, worker: &Worker) {
         let id = worker.spec.id;
@@ -96,7 +96,7 @@
         cell.workers().for_each(|worker| self.sync(worker));
     }
 
-    /// Sets the free capacity of a worker, or removes the worker from the index.
+    /// Sets the free capacity of a worker, or removes the worker from the directory.
     fn set_free(&mut self, id: WorkerId, free: Option<Resources>) {
         if let Some(old) = self.free.remove(&id) {
             self.by_cpu.remove(&(old.cpu_milli, id));
@@ -114,7 +114,7 @@
     }
 
     /// Reserves capacity for a proposal that uses `cpus` cores of a class, until
-    /// [`WorkerIndex::undo`].
+    /// [`WorkerDirectory::undo`].
     pub fn reserve_tentatively(
         &mut self,
         id: WorkerId,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Removes a worker from the index for this round, because a proposal quarantines it.
+    /// Removes a worker from the directory for this round, because a proposal quarantines it.
     pub fn exclude(&mut self, id: WorkerId) {
         self.set_free(id, None);
         self.tentative.push((id, 0, 0.0));
@@ -182,7 +182,7 @@
         self.free.len()
     }
 
-    /// Total capacity, as computed by [`WorkerIndex::set_total`].
+    /// Total capacity, as computed by [`WorkerDirectory::set_total`].
     pub fn total(&self) -> Resources {
         self.total
     }
--- a/crates/agatesill_policy/src/fleet/capacity_index.rs
+++ b/crates/agatesill_policy/src/fleet/capacity_index.rs
@@ -36,9 +36,10 @@
     by_free: BTreeSet<(u64, WorkerIndex)>,
     by_crowding: BTreeSet<(u32, WorkerIndex)>,
     by_label: HashMap<String, BTreeSet<WorkerIndex>>,
-    /// Where the search for reserved CPU continues after one that found no worker.
+    /// Position from which the next search for reserved CPU continues after a failed search.
     reserved_cursor: Option<(u64, WorkerIndex)>,
-    /// Where the search for each best-effort image continues after one that found no worker.
+    /// Position from which the next search for each best-effort image continues after a failed
+    /// search.
     best_effort_cursors: HashMap<ImageId, (u32, WorkerIndex)>,
 }
 
--- a/crates/agatesill_policy/src/fleet/order_outcomes.rs
+++ b/crates/agatesill_policy/src/fleet/order_outcomes.rs
@@ -9,7 +9,7 @@
 /// differs from the ledger, and a second start would be rejected as well.
 const NO_CAPACITY_BACKOFF_US: u64 = 400 * US_PER_MS;
 
-/// The same after a worker answered that it is unhealthy.
+/// Time without new tasks after a worker rejected one because it is unhealthy.
 const REFUSED_BACKOFF_US: u64 = 1_000 * US_PER_MS;
 
 /// Unanswered orders after which a run is given up. The run is stopped, which bars it permanently,
--- a/crates/agatesill_policy/src/fleet/plan.rs
+++ b/crates/agatesill_policy/src/fleet/plan.rs
@@ -15,14 +15,14 @@
 /// Time a long-running task waits for a healthy worker before it accepts one that is closed after
 /// failures.
 ///
-/// A long-running task may be missing for six seconds in all, starts included.
+/// A long-running task may be without a run for six seconds in total, including its start.
 const HEALTHY_WORKER_TIMEOUT_US: u64 = 1_500 * US_PER_MS;
 
 /// Number of starting tasks from which tasks of non-urgent queues are no longer placed.
 ///
-/// A planner that lacks CPU time would otherwise keep choosing workers faster than starts are
-/// carried out. Records and orders would wait for seconds, those of urgent and long-running tasks
-/// behind thousands of batch tasks, and starts would be given up before they are sent.
+/// Without this limit, a planner that lacks CPU time would choose workers faster than starts are
+/// carried out. Records and orders of urgent and long-running tasks would wait for seconds behind
+/// those of thousands of batch tasks, and starts would be given up before they are sent.
 const MAX_STARTING_TASKS: u32 = 1_024;
 
 /// A demand that fitted no worker in this planning round; equal or larger demands are skipped.
@@ -30,8 +30,8 @@
 struct UnplacedDemand {
     service: String,
     allocation: Resources,
-    /// Image of a best-effort task; `None` for other tasks. Another image may be accepted by
-    /// workers where this one harms serving tasks.
+    /// Image of a best-effort task; `None` for other tasks. An image that harms serving tasks on a
+    /// worker is not placed there, but another image may be.
     fills: Option<ImageId>,
 }
 
@@ -41,7 +41,9 @@
     step: &'a Step,
     image: ImageId,
     service: &'a str,
+    /// The group if only workers with a ticket for it may run its tasks.
     ticket_group: Option<TaskGroup>,
+    /// Whether the tasks accept a worker that is closed after failures if no open one fits.
     accepts_closed: bool,
 }
 
@@ -55,14 +57,14 @@
             return;
         }
         let mut unplaced = Vec::new();
-        let mut remaining = Vec::new();
+        let mut still_waiting = Vec::new();
         for ranked in self.ranked(now_us, now_ms) {
             self.place_group(ranked.group, &mut unplaced, now_us);
             if self.waiting.contains(&ranked.group) {
-                remaining.push((ranked.group, ranked.density));
+                still_waiting.push((ranked.group, ranked.density));
             }
         }
-        self.preempt_for_urgent(&remaining, now_us);
+        self.preempt_for_urgent(&still_waiting, now_us);
     }
 
     fn place_group(&mut self, group: TaskGroup, unplaced: &mut Vec<UnplacedDemand>, now_us: u64) {
@@ -90,33 +92,34 @@
             return;
         }
         if step.is_gang && tasks.len() < step.count as usize {
-            // Other members are not ready to start yet, and a gang starts only as a whole.
+            // Some members are not ready to start yet, and a gang starts only as a whole.
             return;
         }
         if step.is_lasting && self.is_held_back(group, now_us) {
             return;
         }
-        // A long-running task has no limit on attempts. If only a closed worker has capacity, the
-        // task goes there after a short wait instead of being missing until that worker reopens.
+        // If only a closed worker has capacity, a long-running task is placed there after a short
+        // wait, instead of being without a run until that worker reopens. Long-running tasks have
+        // no limit on attempts.
         let wait_us =
             tasks.iter().map(|task| job.tasks[*task as usize].idle_us(now_us)).max().unwrap_or(0);
         let accepts_closed = step.is_lasting && wait_us > HEALTHY_WORKER_TIMEOUT_US;
         let allocation = step.allocation();
         let image = job.images[group.step as usize];
         let fills = step.fills.then_some(image);
-        let is_known_unplaceable = |demand: &UnplacedDemand| {
+        let is_known_not_to_fit = |demand: &UnplacedDemand| {
             demand.service == service
                 && demand.fills == fills
                 && allocation.holds(&demand.allocation)
                 && step.label.is_empty()
         };
-        if !accepts_closed && unplaced.iter().any(is_known_unplaceable) {
+        if !accepts_closed && unplaced.iter().any(is_known_not_to_fit) {
             return;
         }
         let context =
             GroupContext { step: &step, image, service: &service, ticket_group, accepts_closed };
-        // A task that waits for a worker without other suspects may fail to be placed despite free
-        // capacity, so its group is no evidence that other groups do not fit.
+        // A task suspected of crashing workers waits for a worker without other suspected tasks. It
+        // may remain unplaced despite free capacity, so other groups may still fit.
         let awaits_separation = tasks
             .iter()
             .any(|task| self.awaits_separation(TaskRef { job: group.job, task: *task }, now_us));
@@ -242,6 +245,7 @@
         }
     }
 
+    /// Number of tasks of the group on each worker.
     fn count_tasks_by_worker(&self, group: TaskGroup) -> HashMap<WorkerIndex, u32> {
         let mut members = HashMap::new();
         if let Some(job) = self.job(group.job) {
--- a/crates/agatesill_policy/src/fleet/ranking.rs
+++ b/crates/agatesill_policy/src/fleet/ranking.rs
@@ -41,7 +41,8 @@
 /// that can still be in time. Its tasks may be missing for six seconds in all, starts included.
 const OVER_ALLOWANCE_YIELD_US: u64 = 2_000 * US_PER_MS;
 
-/// The same for a step that misses no more tasks than it may.
+/// How long a long-running step that misses no more tasks than it may yields free capacity to steps
+/// that can still be in time.
 ///
 /// Without a limit, a preempted task might never get capacity again because another urgent step is
 /// always waiting, and its callers would miss it permanently.
--- a/crates/agatesill_wire/src/jobs.rs
+++ b/crates/agatesill_wire/src/jobs.rs
@@ -85,7 +85,7 @@
 /// Limits for submitted jobs.
 ///
 /// A job of 10,000 tasks is half of all batch tasks at the target cluster size. A run time of 7
-/// days and a deadline of 31 days far exceed the longest month-end batch run.
+/// days and a deadline of 31 days far exceed the longest batch run.
 pub const JOB_BOUNDS: JobBounds = JobBounds {
     max_tasks: 10_000,
     max_run_ms: 7 * 86_400_000,
--- a/crates/agatesilld/src/fleet/planner.rs
+++ b/crates/agatesilld/src/fleet/planner.rs
@@ -21,30 +21,31 @@
 use super::worker_connections::WorkerConnections;
 use super::{advice_client, predecessors, recovery, store_watchers};
 
-/// Capacity of the queue of workers' answers. A full queue blocks the worker connections, which
-/// then poll less.
+/// Capacity of the queue of answers from workers. A full queue blocks the worker connections, which
+/// then poll less often.
 const ANSWER_QUEUE_CAPACITY: usize = 8_192;
 
 /// Capacity of the queue of events from callers, operators, the registry and commits.
 const EVENT_QUEUE_CAPACITY: usize = 4_096;
 
-/// Maximum time for which one iteration handles answers before other tasks of the daemon run.
+/// Maximum time for which one turn handles answers before other tasks of the daemon run.
 ///
-/// Guards against a planner without processor time that starves its own lease renewals and peer
-/// connections: its lease would expire, and the daemon that takes over would be no faster.
+/// Without a limit, a planner that lacks processor time would starve the daemon's lease renewals
+/// and peer connections. Its lease would expire, and the daemon that takes over would be no faster.
 const MAX_ANSWER_HANDLING_US: u64 = 5_000;
 
-/// Delay after a round of planning, as a multiple of its duration. This leaves most of the
-/// processor to calls and renewals, however slow the machine is.
-const REST_FACTOR: u64 = 3;
+/// Delay after a planning round, as a multiple of the duration of the round. This leaves most of
+/// the processor time to calls and lease renewals, however slow the machine is.
+const ROUND_DELAY_FACTOR: u64 = 3;
 
-/// Idle workers whose connections are opened in one round.
+/// Number of connections to idle workers that are opened at once, every [`ROUND_INTERVAL`].
 ///
-/// Guards against opening thousands of connections at once during a takeover: answers of workers
-/// that run tasks would queue behind the handshakes of idle workers, and their leases would expire.
+/// If a takeover opened thousands of connections at once, answers of workers that run tasks would
+/// queue behind the handshakes of idle workers, and the leases of the former would expire.
 const CONNECTIONS_PER_ROUND: usize = 64;
 
-/// The same while answers have waited longer than [`LAG_THRESHOLD_US`].
+/// Number of connections to idle workers that are opened at once while answers have waited longer
+/// than [`LAG_THRESHOLD_US`].
 const CONNECTIONS_PER_ROUND_IN_LAG: usize = 8;
 
 /// Age of waiting answers from which connections are opened more slowly.
@@ -53,7 +54,8 @@
 /// Age of waiting answers from which the planner counts as behind.
 const BEHIND_THRESHOLD_US: u64 = 500_000;
 
-/// Interval between checks of leases and due times, and between rounds without an event.
+/// Interval between checks of leases and due times, and maximum time between turns without an
+/// event.
 const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Maximum number of concurrent transactions: enough for a slow store, and few enough that records
@@ -63,7 +65,8 @@
 /// How long an ended job is kept. Callers query states for two minutes after the end.
 const ENDED_JOB_RETENTION_US: u64 = 130_000_000;
 
-/// Interval between writes of the learned interference. A successor misses at most this much.
+/// Interval between writes of the learned interference. A successor lacks at most the updates of
+/// one interval.
 const SAVE_LEARNED_INTERVAL_US: u64 = 5_000_000;
 
 /// Interval between log lines on the utilisation of the workers.
@@ -95,13 +98,13 @@
     ClosedZonesRead(Vec<ClosedZone>, u64),
     /// A worker answered a poll.
     Polled(WorkerIndex, Box<Poll>),
-    /// A poll failed. The time is when it was sent, if it requested a lease.
+    /// A poll failed. The time is when the poll was sent, if it requested a lease.
     Silent(WorkerIndex, Option<u64>),
     /// Another incarnation of a worker answered.
     OtherIncarnation(WorkerIndex),
     /// A worker has seen a higher epoch.
     Fenced(WorkerIndex),
-    /// Outcome of an order. The time is when it was sent, if it requested a lease.
+    /// Outcome of an order. The time is when the order was sent, if it requested a lease.
     Answered(Box<Order>, OrderOutcome, Option<u64>),
     /// Reply of the advice service; `None` if it did not answer.
     Advised(Box<AdviceQuestion>, Option<AdviceReply>),
@@ -170,8 +173,8 @@
     }
 }
 
-/// Plans under `epoch` until `lost` is cancelled. The planner cancels it itself when it meets a
-/// higher epoch.
+/// Plans under `epoch` until `lost` is cancelled. The planner itself cancels `lost` when it
+/// observes a higher epoch.
 pub async fn run(daemon: Arc<DaemonState>, epoch: u64, lost: CancellationToken) {
     let (answers, answered) = mpsc::channel(ANSWER_QUEUE_CAPACITY);
     let (events, queued_events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
@@ -238,7 +241,8 @@
     tasks.wait().await;
 }
 
-/// Stores that no earlier planner renews leases any more, once that is certain.
+/// Clears the stored list of earlier planners after [`ORPHAN_MS`], when none of them can still
+/// renew leases.
 async fn clear_predecessors(daemon: Arc<DaemonState>, epoch: u64, stop: CancellationToken) {
     let wait = tokio::time::sleep(Duration::from_millis(ORPHAN_MS));
     if stop.run_until_cancelled(wait).await.is_none() {
@@ -266,7 +270,7 @@
     last_usage_log_us: u64,
     /// When leases, due times and connections to open were last checked.
     last_check_us: u64,
-    /// Earliest time of the next round of planning.
+    /// Earliest time of the next planning round.
     next_round_us: u64,
     rounds: RoundStats,
     /// All answers that workers sent before this time have been handled.
@@ -315,8 +319,8 @@
 
     /// Handles all queued events, and then answers for a limited time.
     ///
-    /// Guards against events that wait behind thousands of answers: a leaving worker would still
-    /// get starts, and a cancelled job would continue to run.
+    /// If answers came first, events would wait behind thousands of them: a leaving worker would
+    /// still get starts, and a cancelled job would continue to run.
     fn handle_queued(
         &mut self,
         events: &mut mpsc::Receiver<Event>,
@@ -399,9 +403,9 @@
                     self.lost.cancel();
                 }
             }
-            Event::Advised(question, advised) => {
-                let good = advised.as_ref().map(|advised| advised.good.as_slice());
-                let valid_ms = advised.as_ref().map_or(0, |advised| advised.valid_ms);
+            Event::Advised(question, reply) => {
+                let good = reply.as_ref().map(|reply| reply.good.as_slice());
+                let valid_ms = reply.as_ref().map_or(0, |reply| reply.valid_ms);
                 self.fleet.advice_answered(&question, good, valid_ms, now_us);
             }
             Event::Committed(committed) => self.committed(committed),
@@ -478,18 +482,19 @@
         }
     }
 
-    /// Checks leases, due times and connections to open at a fixed interval, however many events
-    /// there are.
+    /// Checks leases, due times and connections to open every [`ROUND_INTERVAL`], however many
+    /// events there are.
     ///
-    /// Guards against an unbroken stream of events: terminated workers would keep their tasks.
+    /// If the checks ran only while no events are queued, an unbroken stream of events would let
+    /// terminated workers keep their tasks.
     fn check_times(&mut self) {
         let now_us = self.daemon.clock.now_us();
         if now_us - self.last_check_us < ROUND_INTERVAL.as_micros() as u64 {
             return;
         }
         self.last_check_us = now_us;
-        // Everything that had arrived before the previous turn has been reported by now: the worker
-        // connections had two turns to do so.
+        // All answers that arrived before the previous turn have been reported by now, because the
+        // worker connections had two turns to report them.
         let as_of_us = self.answers_as_of_us.min(self.turn_starts_us[1]);
         self.fleet.expire_workers(as_of_us, now_us);
         self.open_connections();
@@ -533,7 +538,7 @@
         self.fleet.retire_ended();
     }
 
-    /// Age of the answers that are handled next.
+    /// Upper bound on the time that the oldest queued answer has waited.
     fn behind_us(&self) -> u64 {
         self.daemon.clock.now_us().saturating_sub(self.answers_as_of_us)
     }
@@ -558,7 +563,7 @@
             silent_workers: self
                 .fleet
                 .live_workers()
-                .map(|(_, w)| w)
+                .map(|(_, worker)| worker)
                 .filter(is_unresponsive)
                 .count() as u64,
         });
@@ -572,10 +577,10 @@
         self.fleet.plan(started_us, wall_ms());
         let ended_us = self.daemon.clock.now_us();
         self.rounds.add(started_us, ended_us);
-        self.next_round_us = ended_us + (ended_us - started_us) * REST_FACTOR;
+        self.next_round_us = ended_us + (ended_us - started_us) * ROUND_DELAY_FACTOR;
     }
 
-    /// Plans, commits changed records and sends the orders that may go out.
+    /// Plans, commits changed records and sends the orders that are ready.
     fn plan_and_send(&mut self) {
         if self.lost.is_cancelled() {
             return;
@@ -621,7 +626,7 @@
     }
 }
 
-/// Statistics on the rounds of planning since they were last logged.
+/// Statistics on the planning rounds since they were last logged.
 #[derive(Debug, Default)]
 struct RoundStats {
     count: u64,
@@ -670,7 +675,7 @@
         self.planned_us = self.daemon.clock.now_us();
     }
 
-    /// Logs how the time was spent if the turn took long.
+    /// Logs the time spent in each part if the turn took longer than [`BEHIND_THRESHOLD_US`].
     fn end(self, waiting_steps: usize) {
         let ended_us = self.daemon.clock.now_us();
         let turn_us = ended_us - self.started_us;
@@ -684,7 +689,7 @@
     }
 }
 
-/// Logs why the task that has been without a run for longest is not started.
+/// Logs the task that has been without a run for longest, with the reason.
 fn log_wait(wait: &LongestWait, epoch: u64) {
     log::info!(event = "longest_wait", epoch = epoch, kind = wait.kind.name(),
         job = wait.job.as_str(), step = wait.step, task = wait.task, waited_ms = wait.waited_ms,
--- a/crates/agatesilld/src/metrics.rs
+++ b/crates/agatesilld/src/metrics.rs
@@ -92,7 +92,7 @@
     meter
         .u64_observable_counter("agatesill.ring.full")
         .with_unit("{item}")
-        .with_description("Items rejected because a ring was full")
+        .with_description("Items that a full ring turned away")
         .with_callback(move |counter| {
             counter.observe(counted.counters().decide_ring_full.get(), &ring("decide"));
             counter.observe(counted.counters().cell_ring_full.get(), &ring("cells"));
@@ -106,7 +106,7 @@
     meter
         .u64_observable_counter("agatesill.entry.refused")
         .with_unit("{connection}")
-        .with_description("Caller connections refused or closed, by reason")
+        .with_description("Connections of callers refused or closed, by reason")
         .with_callback(move |counter| {
             let reason = |name: &'static str| [KeyValue::new("reason", name)];
             let counters = counted.counters();
@@ -125,14 +125,14 @@
     meter
         .u64_observable_counter("agatesill.records.evicted")
         .with_unit("{record}")
-        .with_description("Records evicted before their expiry, for lack of memory")
+        .with_description("Records dropped before their time, for lack of room")
         .with_callback(move |counter| counter.observe(evicted.records().evicted(), &[]))
         .build();
     let leaving = shared.clone();
     meter
         .u64_observable_gauge("agatesill.upstreams.leaving")
         .with_unit("{upstream}")
-        .with_description("Upstreams that announced to this daemon directly that they are leaving")
+        .with_description("Upstreams that gave this daemon itself a sign of leaving")
         .with_callback(move |gauge| gauge.observe(leaving.leaving().len() as u64, &[]))
         .build();
 }
@@ -141,14 +141,14 @@
     let config = shared.clone();
     meter
         .u64_observable_gauge("agatesill.config.version")
-        .with_description("Version of the active configuration")
+        .with_description("Version of the configuration in force")
         .with_callback(move |gauge| gauge.observe(config.config().version, &[]))
         .build();
     let peers = shared.clone();
     meter
         .u64_observable_gauge("agatesill.peers.live")
         .with_unit("{instance}")
-        .with_description("Peers with a recent heartbeat")
+        .with_description("Other daemons heard lately")
         .with_callback(move |gauge| gauge.observe(peers.peers().len() as u64, &[]))
         .build();
     let cells = shared.clone();
--- a/crates/agatesilld/src/shared.rs
+++ b/crates/agatesilld/src/shared.rs
@@ -41,7 +41,7 @@
     pub heads_timed_out: Count,
 }
 
-/// Cells and their owners. Only a hint; the store is authoritative.
+/// Cells and their owners as known to this daemon. Only a hint; the store is authoritative.
 #[derive(Debug, Default)]
 pub struct Owners {
     /// All cells of the settings.
@@ -53,18 +53,18 @@
 }
 
 impl Owners {
-    /// The peer that reports that it owns `cell`.
+    /// The peer that reported in its heartbeat that it owns `cell`.
     pub fn peer_of(&self, cell: &str) -> Option<String> {
         let owner = self.peers.iter().find(|(_, cells)| cells.contains(cell));
         owner.map(|(instance, _)| instance.clone())
     }
 
-    /// Cells that no daemon reports to own.
+    /// Cells that neither this instance nor a peer reports as owned.
     pub fn unowned(&self) -> Vec<String> {
-        let owned = |cell: &&String| {
+        let is_owned = |cell: &&String| {
             self.own.contains(*cell) || self.peers.values().any(|cells| cells.contains(*cell))
         };
-        self.all.iter().filter(|cell| !owned(cell)).cloned().collect()
+        self.all.iter().filter(|cell| !is_owned(cell)).cloned().collect()
     }
 }
 
@@ -86,8 +86,8 @@
 }
 
 impl Shared {
-    /// Creates the state without an active configuration, with records within the limits of
-    /// `records`.
+    /// Creates the state without an active configuration. `records` limits the retention time and
+    /// the total size of the records of requests.
     pub fn new(records: &RecordSettings) -> Self {
         Self {
             leaving: Arc::default(),
@@ -131,8 +131,8 @@
     }
 
     /// Records the outcome of a run; see [`Records::settle`].
-    pub fn settle_record(&self, key: &str, how: RunOutcome) {
-        self.records().settle(key, how, self.now_ms());
+    pub fn settle_record(&self, key: &str, outcome: RunOutcome) {
+        self.records().settle(key, outcome, self.now_ms());
     }
 
     /// Records of non-repeatable requests.
@@ -149,15 +149,15 @@
         self.config.borrow().clone()
     }
 
-    /// Notifies of later configurations.
+    /// Subscribes to changes of the active configuration.
     pub fn config_changes(&self) -> watch::Receiver<Arc<VersionedConfig>> {
         self.config.subscribe()
     }
 
     /// Activates a configuration if it is newer than the active one; returns whether it was.
     ///
-    /// Guards against a configuration that reverts, for example to an earlier latency objective
-    /// after a stale read or a late push: the active version only increases.
+    /// The active version only increases, so that a stale read or a delayed push cannot restore an
+    /// earlier configuration, for example an earlier latency objective.
     pub fn apply_config(&self, next: VersionedConfig) -> bool {
         self.config.send_if_modified(|current| {
             if next.version <= current.version {
@@ -183,7 +183,7 @@
         self.owners.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Live peers.
+    /// Instance names of the live peers.
     pub fn peers(&self) -> MutexGuard<'_, Vec<String>> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -193,22 +193,23 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Version that the decision thread uses; 0 before the first.
+    /// Configuration version that the decision thread uses; 0 before the first one.
     pub fn served_version(&self) -> u64 {
         self.served_version.load(Ordering::Relaxed)
     }
 
-    /// Records that the decision thread uses `version`.
+    /// Records that the decision thread uses configuration `version`.
     pub fn set_served_version(&self, version: u64) {
         self.served_version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Newest version that was accepted at this daemon; 0 if there is none.
+    /// Newest configuration version that was accepted at this daemon; 0 if there is none.
     pub fn accepted_version(&self) -> u64 {
         self.accepted_version.load(Ordering::Acquire)
     }
 
-    /// Records that `version` was accepted here. Call this before the version is activated.
+    /// Records that configuration `version` was accepted at this daemon. Must be called before the
+    /// version is activated.
     pub fn set_accepted_version(&self, version: u64) {
         self.accepted_version.fetch_max(version, Ordering::AcqRel);
     }
--- a/crates/agatesilld/tests/request_faults.rs
+++ b/crates/agatesilld/tests/request_faults.rs
@@ -22,7 +22,7 @@
     run(1..=5).await;
 }
 
-/// The same with five more seeds, in parallel to the first five.
+/// Five more seeds of the at-most-once test above, run in parallel to its first five.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn decisions_run_at_most_once_under_faults_of_more_seeds() {
     run(6..=10).await;
