--- a/crates/agatesill_policy/tests/fleet_colocation.rs
+++ b/crates/agatesill_policy/tests/fleet_colocation.rs
@@ -22,7 +22,7 @@
     best_effort.need.cpu_milli = 2_000;
     best_effort.estimate_ms = 30_000;
     let mut spec = job(id, vec![best_effort]);
-    spec.queue = "batch".to_owned();
+    spec.queue = "month-end".to_owned();
     spec.terms.priority = 2;
     spec
 }
--- a/crates/agatesill_policy/tests/fleet_overload.rs
+++ b/crates/agatesill_policy/tests/fleet_overload.rs
@@ -102,7 +102,7 @@
     let mut harness = Harness::new(workers.collect());
     for at in 0..40 {
         let mut spec = job(&format!("batch{at}"), vec![step(80)]);
-        spec.queue = "batch".to_owned();
+        spec.queue = "month-end".to_owned();
         spec.terms.priority = 2;
         harness.fleet.accept(spec, harness.now_us);
     }
--- a/crates/agatesill_policy/tests/fleet_scale.rs
+++ b/crates/agatesill_policy/tests/fleet_scale.rs
@@ -56,7 +56,7 @@
     bill.need.memory_mb = 3_200;
     bill.estimate_ms = 2_200;
     let mut spec = job(&format!("filling{index}"), vec![bill]);
-    spec.queue = "batch".to_owned();
+    spec.queue = "month-end".to_owned();
     spec.terms.priority = 2;
     spec.accepted_at_ms = accepted_at_ms;
     spec
--- a/crates/agatesill_policy/tests/fleet_starvation.rs
+++ b/crates/agatesill_policy/tests/fleet_starvation.rs
@@ -42,7 +42,7 @@
     bill.estimate_ms = 2_200;
     let second = Step { after: vec![0], ..bill.clone() };
     let mut spec = job(&format!("bill-{number}"), vec![bill, second]);
-    spec.queue = "batch".to_owned();
+    spec.queue = "month-end".to_owned();
     spec.terms.priority = 2;
     spec
 }
